--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -12,79 +12,99 @@
 from irisstack import interface as api
 from irisstack.delivery_state import (
     NEVER,
+    BreakerScope,
     Call,
     CircuitBreaker,
     Destination,
-    Limit,
-    Line,
+    DestinationQueue,
     Message,
     Route,
 )
 from irisstack.interface import Effect, Outcome
 from irisstack.list_refresh import ListRefresh
 
-WINDOW = 10.0  # seconds in which failures are counted together
-THRESHOLD = 3  # the failure that opens
-SHARED = 6  # and the one of those that all senders are told of
-TOLERATED = 0.25  # failures for each success in the window that do not open yet
-OPEN_FOR = 2.0  # seconds an opened breaker stays open: longer parks fill the holding room of a small sender
-SHUT_AFTER = 3.0  # seconds of refusals with no call taken after which a destination counts as shut
-UNEVEN = 1.5  # times the even part of a told rate that one sender may take of a destination not back yet
-SPENT = 0.75  # a share left under this explains a refusal: it is the limit, and the destination is not shut
-SCARCE = 1.0 - SPENT  # a share left under this has calls spaced before any is refused
-SLOWER = 1.5  # each further refusal stretches the gap between calls by this
-FIRST_GAP = 2.0  # where no rate is told: seconds between two calls after a refusal, at most, at first
-RECOVER = 0.25  # part of a refusal's step that a success takes back where calls are shared; else all of it
-COLD_MARGIN = 0.7  # part of the fail-back budget that is used: the capacity behind it is an estimate
-ITEM_WEIGHT = 0.2  # what each further message of a shared call weighs against the fail-back budget
-OVERDUE = 4.0  # a call is overdue after this many usual times
-OVERDUE_REST = 0.5  # and these seconds, so that jitter on quick calls does not count
-PATIENCE = 3.0  # a repeatable call is given up after this many times the overdue time
-BUSY_PART = 0.25  # of its time that a connection is in use, to be worth a place in an endpoint's table
-AWAY = 5.0  # calls out at an endpoint that another zone is worth, where crossing has a price
-NEW_CONNECTION = 0.75  # calls out at an endpoint that a connection already open is worth
-HANDFUL = 4  # idle connections for which any such table has room
-CROWDED_FOR = 30.0  # seconds after a failed connect at a live destination in which idle connections go back
-LEARN = 0.1  # weight of a new call in the usual time
-FIRST_USUAL = 0.2  # share of a class's aim taken for its usual time before any call was seen
-STALE = 3.0  # this many calls lost on idle connections: those idle as long are closed before a call
-STALE_BACK = 0.4  # of a lost call is made good by one that succeeded on an idle connection
-IDLE_PART = 0.1  # of the keep-alive time; a connection idle for less says nothing
-SLOT_PART = 3  # a destination holds at most one part in so many of the slots, two at least
-
-FAILED, SERVED, CROWDED = b"F", b"S", b"C"  # what notes to the other senders say
-
-NOT_RUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+FAILURE_WINDOW = 10.0  # seconds in which failures are counted together
+FAILURE_THRESHOLD = 3  # the failure that opens
+GOSSIP_FAILURE_THRESHOLD = 6  # and the one of those that all senders are told of
+TOLERATED_FAILURE_RATIO = 0.25  # failures for each success in the window that do not open yet
+OPEN_DURATION = (
+    2.0  # seconds an opened breaker stays open: longer parks fill the holding room of a small sender
+)
+OUTAGE_AFTER = 3.0  # seconds of refusals with no call taken after which a destination counts as shut
+MAX_EVEN_SHARE_MULTIPLE = (
+    1.5  # times the even part of a told rate that one sender may take of a destination not back yet
+)
+USED_UP_REMAINING_SHARE = (
+    0.75  # a share left under this explains a refusal: it is the limit, and the destination is not shut
+)
+LOW_REMAINING_SHARE = (
+    1.0 - USED_UP_REMAINING_SHARE
+)  # a share left under this has calls spaced before any is refused
+SLOWDOWN_FACTOR = 1.5  # each further refusal stretches the gap between calls by this
+MAX_INITIAL_CALL_GAP = (
+    2.0  # where no rate is told: seconds between two calls after a refusal, at most, at first
+)
+BATCH_SLOWDOWN_RECOVERY = (
+    0.25  # part of a refusal's step that a success takes back where calls are shared; else all of it
+)
+WARMUP_BUDGET_MARGIN = 0.7  # part of the fail-back budget that is used: the capacity behind it is an estimate
+EXTRA_MESSAGE_WEIGHT = 0.2  # what each further message of a shared call weighs against the fail-back budget
+OVERDUE_LATENCY_MULTIPLE = 4.0  # a call is overdue after this many usual times
+OVERDUE_SLACK = 0.5  # and these seconds, so that jitter on quick calls does not count
+TIMEOUT_OVERDUE_MULTIPLE = 3.0  # a repeatable call is given up after this many times the overdue time
+MIN_CONNECTION_UTILIZATION = (
+    0.25  # of its time that a connection is in use, to be worth a place in an endpoint's table
+)
+CROSS_ZONE_PENALTY = 5.0  # calls out at an endpoint that another zone is worth, where crossing has a price
+NEW_CONNECTION_PENALTY = 0.75  # calls out at an endpoint that a connection already open is worth
+MIN_CONNECTION_TABLE_SIZE = 4  # idle connections for which any such table has room
+CROWDED_DURATION = (
+    30.0  # seconds after a failed connect at a live destination in which idle connections go back
+)
+LATENCY_EMA_WEIGHT = 0.1  # weight of a new call in the usual time
+INITIAL_LATENCY_SHARE = 0.2  # share of a class's aim taken for its usual time before any call was seen
+STALE_LOSS_THRESHOLD = (
+    3.0  # this many calls lost on idle connections: those idle as long are closed before a call
+)
+STALE_LOSS_RECOVERY = 0.4  # of a lost call is made good by one that succeeded on an idle connection
+MIN_IDLE_SHARE = 0.1  # of the keep-alive time; a connection idle for less says nothing
+DESTINATION_SLOT_DIVISOR = 3  # a destination holds at most one part in so many of the slots, two at least
+
+GOSSIP_FAILURE, GOSSIP_SUCCESS, GOSSIP_CROWDED = b"F", b"S", b"C"  # what notes to the other senders say
+
+NOT_RUN_OUTCOMES = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 def _longest_wait(settings: api.Settings) -> float:
     """Seconds for which a message may wait for a destination that is down, a window at the least."""
     if settings.may_tell_peers:  # the first success is told to all, which ends the wait
-        return WINDOW
-    return max(WINDOW, *(kind.deadline for kind in settings.classes))
+        return FAILURE_WINDOW
+    return max(FAILURE_WINDOW, *(kind.deadline for kind in settings.classes))
 
 
 class Sender:
     """One sender's decisions. Give it everything that came together; carry out what it returns, in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self._set = settings
+        self._settings = settings
         self._random = Random(seed)
         self._now = 0.0
-        self._out: list[api.Action] = []
-        self._breakers: dict[Limit, CircuitBreaker] = {}
-        self._limits: dict[bytes, Limit] = {}
+        self._actions: list[api.Action] = []
+        self._breakers: dict[BreakerScope, CircuitBreaker] = {}
+        self._limits: dict[bytes, BreakerScope] = {}
         self._destinations: dict[int, Destination] = {}
         self._where: dict[api.Address, int] = {}
         self._messages: dict[int, Message] = {}
         self._held = self._calls = 0
-        self._slots = max(2, settings.max_calls // SLOT_PART)  # that one destination may hold
+        self._slots = max(2, settings.max_calls // DESTINATION_SLOT_DIVISOR)  # that one destination may hold
         self._longest_wait = _longest_wait(settings)
         self._crowded_until = 0.0  # until when idle connections are given back
         self._stale = 0.0  # calls lost on idle connections, less a part of such calls that succeeded
         self._idle_limit = NEVER  # the shortest idle time before such a loss
-        self._home = settings.zone if settings.cross_zone_price else None  # the zone to which calls cost less
-        self._waiting: dict[Line, None] = {}  # lines with messages in them, in order of arrival
+        self._home_zone = (
+            settings.zone if settings.cross_zone_price else None
+        )  # the zone to which calls cost less
+        self._waiting: dict[DestinationQueue, None] = {}  # lines with messages in them, in order of arrival
         self._expiry: list[tuple[float, int]] = []
         self._overdue: list[tuple[float, int, Call]] = []
         self._stuck: list[Call] = []  # overdue at a silent destination, oldest first
@@ -96,7 +116,7 @@
 
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
         """Take all that came at one time and answer with what to do about it."""
-        self._now, self._out = now, []
+        self._now, self._actions = now, []
         changed = not events  # whether anything, if only time, may have changed what goes when
         for event in events:
             changed |= not isinstance(event, api.PeerMessage) or self._on_gossip(event.data)
@@ -115,54 +135,65 @@
                 case api.TimerFired() if event.token == self._timers:
                     self._wake = NEVER
         if not changed:
-            return self._out
+            return self._actions
         self._look_for_silence()
         while self._resting and self._resting[0][0] <= now:
             self._next_of_key(heappop(self._resting)[1])
         self._expire()
         if now >= self._list_refresh.next_at:
             self._list_refresh.next_at = NEVER
-            self._out.append(api.Subscribe(True))
+            self._actions.append(api.Subscribe(True))
         self._set_timer(min(self._list_refresh.next_at, self._dispatch()))
-        return self._out
+        return self._actions
 
     def _adopt(self, settings: api.Settings) -> None:
         """Decide by other settings from here on; messages that are held keep the terms of their class."""
-        self._set, self._slots = settings, max(2, settings.max_calls // SLOT_PART)
+        self._settings, self._slots = settings, max(2, settings.max_calls // DESTINATION_SLOT_DIVISOR)
         self._longest_wait = _longest_wait(settings)
         self._list_refresh.adopt(settings)
-        self._home = settings.zone if settings.cross_zone_price else None
+        self._home_zone = settings.zone if settings.cross_zone_price else None
         kinds = {kind.name: kind for kind in settings.kinds}
         for destination in self._destinations.values():
             destination.kind = kinds.get(destination.kind.name, destination.kind)
 
     # ---- the circuit breaker ----
 
-    def _failure(self, limit: Limit, reason: Outcome | None, from_gossip: bool = False) -> bool:
+    def _record_failure(self, limit: BreakerScope, reason: Outcome | None, from_gossip: bool = False) -> bool:
         """Count a refusal or an error; the third in the window opens the breaker. Returns whether it did."""
-        now, gossips = self._now, self._set.may_tell_peers
+        now, gossips = self._now, self._settings.may_tell_peers
         breaker = self._breakers.setdefault(limit, CircuitBreaker())
         if now < breaker.open_until:
             return False  # landing while open: neither counts nor extends
         if now >= breaker.window_end:
-            breaker.count, breaker.shared, breaker.successes, breaker.window_end = 0, 0, 0, now + WINDOW
-        breaker.count += 1
-        shut = now > breaker.unreachable_since + SHUT_AFTER
+            breaker.failures, breaker.shared, breaker.successes, breaker.window_end = (
+                0,
+                0,
+                0,
+                now + FAILURE_WINDOW,
+            )
+        breaker.failures += 1
+        shut = now > breaker.unreachable_since + OUTAGE_AFTER
         if gossips and reason is not Outcome.RESET and (reason is not Outcome.FULL or shut):
             breaker.shared += 1
             if not from_gossip:
-                self._broadcast(FAILED, limit)
+                self._broadcast(GOSSIP_FAILURE, limit)
         # Few errors among many successes (a lossy path, one failing class) must not shut the rest out.
-        few = reason is not Outcome.FULL and breaker.count < breaker.successes * TOLERATED
+        few = reason is not Outcome.FULL and breaker.failures < breaker.successes * TOLERATED_FAILURE_RATIO
         # One of many senders has too few calls in a window to see the third: what may have run opens sooner.
-        most = THRESHOLD if reason in NOT_RUN or gossips else max(1.0, self._rate(limit) * WINDOW // 1.0)
-        if (breaker.count - breaker.shared >= min(THRESHOLD, most) and not few) or breaker.shared >= SHARED:
-            down = breaker.shared >= SHARED if gossips else reason not in NOT_RUN
-            breaker.count = breaker.shared = 0
+        most = (
+            FAILURE_THRESHOLD
+            if reason in NOT_RUN_OUTCOMES or gossips
+            else max(1.0, self._rate(limit) * FAILURE_WINDOW // 1.0)
+        )
+        if (
+            breaker.failures - breaker.shared >= min(FAILURE_THRESHOLD, most) and not few
+        ) or breaker.shared >= GOSSIP_FAILURE_THRESHOLD:
+            down = breaker.shared >= GOSSIP_FAILURE_THRESHOLD if gossips else reason not in NOT_RUN_OUTCOMES
+            breaker.failures = breaker.shared = 0
             breaker.cold_until = NEVER if down else breaker.cold_until
-            self._open(breaker, limit.destination, now + OPEN_FOR)
+            self._open(breaker, limit.destination, now + OPEN_DURATION)
             number, why = limit.destination.number, reason.name if reason else "SILENCE"
-            self._out.append(api.Log(f"destination {number} open for {OPEN_FOR:g} s after {why}"))
+            self._actions.append(api.Log(f"destination {number} open for {OPEN_DURATION:g} s after {why}"))
             return True
         return False
 
@@ -179,27 +210,29 @@
     def _draw_first_turn(self, breaker: CircuitBreaker) -> None:
         """Take one of as many places in the first gap of the fail-back budget as there are senders."""
         # Many senders that are told one close, or one success, would all call at it.
-        breaker.warmup_budget_used = self._random.randrange(n := self._set.senders) / n - 1.0
+        breaker.warmup_budget_used = self._random.randrange(n := self._settings.senders) / n - 1.0
         breaker.warmup_budget_at = max(self._now, breaker.open_until)
 
     def _newly_shut(self, breaker: CircuitBreaker) -> bool:
         """Whether calls were turned away, or are put off, for longer than a busy destination refuses all."""
-        seldom = not self._set.may_tell_peers and breaker.next_at >= self._now + WINDOW  # few calls
+        seldom = (
+            not self._settings.may_tell_peers and breaker.next_at >= self._now + FAILURE_WINDOW
+        )  # few calls
         put_off = max(breaker.open_until, breaker.next_at) if seldom else breaker.open_until
-        since = self._now if self._set.may_tell_peers else breaker.unreachable_since
-        return breaker.cold_until < NEVER and max(self._now, put_off) > since + SHUT_AFTER
+        since = self._now if self._settings.may_tell_peers else breaker.unreachable_since
+        return breaker.cold_until < NEVER and max(self._now, put_off) > since + OUTAGE_AFTER
 
-    def _success(self, limit: Limit, scarce: bool) -> None:
+    def _success(self, limit: BreakerScope, scarce: bool) -> None:
         """A call that ended well takes back part of the slowing; the spacing lapses once nothing waits."""
         # Little left of a limit begins it: many senders reach it together, with too few calls each to see it.
         breaker = self._breakers.get(limit) or CircuitBreaker()
         breaker.successes, breaker.unreachable_since = breaker.successes + 1, NEVER
         back = breaker.cold_until == NEVER and self._now >= breaker.open_until
         if breaker.shared or back:
-            self._broadcast(SERVED, limit)
-            breaker.count, breaker.shared = breaker.count - breaker.shared, 0
+            self._broadcast(GOSSIP_SUCCESS, limit)
+            breaker.failures, breaker.shared = breaker.failures - breaker.shared, 0
         if back:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._set.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.cold_seconds, 0.0
             limit.refused_at.clear()  # a shut one shows no limit, one that was down no full table
         if scarce:
             self._breakers[limit] = breaker
@@ -207,29 +240,39 @@
         elif breaker.slowdown_steps:
             waits = any(line in self._waiting for line in limit.destination.lines.values())
             shared = limit.destination.kind.max_batch > 1  # what waits goes with the next call, however late
-            breaker.slowdown_steps = max(float(waits), breaker.slowdown_steps - (RECOVER if shared else 1.0))
+            breaker.slowdown_steps = max(
+                float(waits), breaker.slowdown_steps - (BATCH_SLOWDOWN_RECOVERY if shared else 1.0)
+            )
 
-    def _broadcast(self, what: bytes, limit: Limit) -> None:
-        if self._set.may_tell_peers:
-            self._out.append(api.TellPeer(None, what + limit.key))
+    def _broadcast(self, what: bytes, limit: BreakerScope) -> None:
+        if self._settings.may_tell_peers:
+            self._actions.append(api.TellPeer(None, what + limit.key))
 
     def _on_gossip(self, data: bytes) -> bool:
         """A note: a failure counts, a success ends their run. Returns whether this changes what may go."""
         what, limit = data[:1], self._limits.get(data[1:])
-        if what == CROWDED:
-            self._crowded_until = self._now + CROWDED_FOR
-        if limit is None or what != SERVED:
-            return limit is not None and what == FAILED and self._failure(limit, None, from_gossip=True)
+        if what == GOSSIP_CROWDED:
+            self._crowded_until = self._now + CROWDED_DURATION
+        if limit is None or what != GOSSIP_SUCCESS:
+            return (
+                limit is not None
+                and what == GOSSIP_FAILURE
+                and self._record_failure(limit, None, from_gossip=True)
+            )
         limit.ok_sent = max(limit.ok_sent, self._now - max(limit.destination.usual.values(), default=0.0))
         breaker = self._breakers.get(limit) or CircuitBreaker()
-        breaker.count, breaker.shared, breaker.unreachable_since = breaker.count - breaker.shared, 0, NEVER
+        breaker.failures, breaker.shared, breaker.unreachable_since = (
+            breaker.failures - breaker.shared,
+            0,
+            NEVER,
+        )
         if breaker.cold_until == NEVER:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._set.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.cold_seconds, 0.0
             self._draw_first_turn(breaker)  # what was saved up before the success would leave all at once
             return True
         return False
 
-    def _gate(self, route: Route) -> float:
+    def _route_available_at(self, route: Route) -> float:
         """The earliest time at which a call may go there. Closed, empty breakers are dropped here."""
         breaker = self._breakers.get(route.limit)
         if breaker is None:
@@ -240,36 +283,40 @@
             del self._breakers[route.limit]
             return 0.0
         spaced_at = breaker.next_at if breaker.slowdown_steps and breaker.cold_until < NEVER else 0.0
-        return max(breaker.open_until, spaced_at, self._warmup_gate(breaker, route.limit) if cold else 0.0)
+        return max(
+            breaker.open_until, spaced_at, self._warmup_available_at(breaker, route.limit) if cold else 0.0
+        )
 
-    def _warmup_gate(self, breaker: CircuitBreaker, limit: Limit) -> float:
+    def _warmup_available_at(self, breaker: CircuitBreaker, limit: BreakerScope) -> float:
         """When enough of the fail-back budget is saved up for what the next call will weigh."""
         waiting = sum(len(line.fresh) + len(line.late) for line in limit.destination.lines.values())
         size = min(waiting, self._most(breaker, limit.destination.kind))
-        weight = breaker.warmup_budget_used + 1.0 + ITEM_WEIGHT * max(0, size - 1)
+        weight = breaker.warmup_budget_used + 1.0 + EXTRA_MESSAGE_WEIGHT * max(0, size - 1)
         return breaker.warmup_budget_at + weight / self._budget(breaker, limit)
 
     def _most(self, breaker: CircuitBreaker, kind: api.DestinationKind) -> int:
         """How many messages a call may carry: one until a call has succeeded, unless all were turned away."""
         return 1 if breaker.cold_until == NEVER and breaker.unreachable_since == NEVER else kind.max_batch
 
-    def _first_gate(self, line: Line) -> float:
+    def _queue_available_at(self, line: DestinationQueue) -> float:
         """The earliest time at which a call may go to any route that a line's messages may use."""
-        return min((self._gate(route) for route in line.routes()), default=NEVER)
+        return min((self._route_available_at(route) for route in line.routes()), default=NEVER)
 
-    def _rate(self, limit: Limit) -> float:
+    def _rate(self, limit: BreakerScope) -> float:
         """This sender's part of the calls a second told for all: its own flow's, the even part at least."""
         # Guards a limit on calls: a flow of messages that are told one by one would take it many times over.
         flow, whole = self._flow(limit), limit.reported_limit or limit.listed
         own = flow / limit.destination.kind.max_batch
-        return min(whole, max(own, whole / self._set.senders)) or max(own, min(flow, 1.0 / FIRST_GAP))
+        return min(whole, max(own, whole / self._settings.senders)) or max(
+            own, min(flow, 1.0 / MAX_INITIAL_CALL_GAP)
+        )
 
-    def _flow(self, limit: Limit) -> float:
+    def _flow(self, limit: BreakerScope) -> float:
         """This sender's messages a second for what shares one limit."""
         there = limit.destination
         return there.flow / max(1, len(there.routes) if there.kind.separate_routes else 1)
 
-    def _space(self, limit: Limit) -> None:
+    def _space(self, limit: BreakerScope) -> None:
         """Note a call: evenly spaced after refusals, charged to the budget while cold."""
         breaker, jitter = self._breakers.get(limit) or CircuitBreaker(), self._random.uniform(1.0, 1.1)
         # A gap that is no part of a told rate is spread: all that were refused together would meet again.
@@ -277,26 +324,28 @@
         breaker.next_at = self._now + spread * self._gap(breaker, limit)
         breaker.warmup_budget_used, breaker.warmup_budget_at = jitter - 1.0, self._now
 
-    def _gap(self, breaker: CircuitBreaker, limit: Limit) -> float:
+    def _gap(self, breaker: CircuitBreaker, limit: BreakerScope) -> float:
         """Seconds between two calls of this sender while refusals have them spaced."""
-        most = NEVER if limit.reported_limit or limit.listed else FIRST_GAP
-        return float(SLOWER ** max(0.0, breaker.slowdown_steps - 1.0)) * min(1.0 / self._rate(limit), most)
+        most = NEVER if limit.reported_limit or limit.listed else MAX_INITIAL_CALL_GAP
+        return float(SLOWDOWN_FACTOR ** max(0.0, breaker.slowdown_steps - 1.0)) * min(
+            1.0 / self._rate(limit), most
+        )
 
-    def _budget(self, breaker: CircuitBreaker, limit: Limit) -> float:
+    def _budget(self, breaker: CircuitBreaker, limit: BreakerScope) -> float:
         """This sender's part of the calls a second that a destination coming back can bear by now."""
-        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._set.cold_seconds or 1.0))
-        share = self._set.cold_start_share + (1.0 - self._set.cold_start_share) * warm
+        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.cold_seconds or 1.0))
+        share = self._settings.cold_start_share + (1.0 - self._settings.cold_start_share) * warm
         part = self._rate(limit)
         if breaker.cold_until == NEVER:  # a hot destination: all flows together may be far above its limit
-            even = (limit.reported_limit or limit.listed or NEVER) / self._set.senders
+            even = (limit.reported_limit or limit.listed or NEVER) / self._settings.senders
             # Each sender with a message in line takes a part; the lines hold what came in a message's life.
-            part = min(self._flow(limit), max(1.0 / self._longest_wait, UNEVEN * even))
-        return part * share * self._set.tip_multiple * COLD_MARGIN
+            part = min(self._flow(limit), max(1.0 / self._longest_wait, MAX_EVEN_SHARE_MULTIPLE * even))
+        return part * share * self._settings.tip_multiple * WARMUP_BUDGET_MARGIN
 
     # ---- messages ----
 
     def _received(self, event: api.MessageReceived) -> None:
-        index, kind = event.message_class, self._set.classes[event.message_class]
+        index, kind = event.message_class, self._settings.classes[event.message_class]
         aim_at = min(event.due, event.due - kind.deadline + kind.aim)
         key = event.key if kind.ordered else None
         message = Message(event.message, index, kind, event.destination, event.due, aim_at, key)
@@ -304,23 +353,25 @@
         self._messages[event.message] = message
         self._held += 1
         destination = self._destination(event.destination)
-        kept = max(0.0, 1.0 - (self._now - destination.flow_at) / WINDOW)
-        destination.flow, destination.flow_at = destination.flow * kept + 1.0 / WINDOW, self._now
+        kept = max(0.0, 1.0 - (self._now - destination.flow_at) / FAILURE_WINDOW)
+        destination.flow, destination.flow_at = destination.flow * kept + 1.0 / FAILURE_WINDOW, self._now
         line = deque() if message.key is None else self._keys.setdefault(message.key, deque())
         line.append(message)
-        heappush(self._expiry, (self._latest_start(message), message.id))
+        heappush(self._expiry, (self._latest_attempt_start(message), message.id))
         if line[0] is message:
             self._queue(message)
-        if not message.over and self._held >= self._set.max_held:
+        if not message.over and self._held >= self._settings.max_held:
             self._make_room()
 
     def _usual(self, message: Message) -> float:
         """How long a call of this class takes at this destination."""
-        return self._destination(message.destination).usual.get(message.index, message.kind.aim * FIRST_USUAL)
+        return self._destination(message.destination).usual.get(
+            message.class_index, message.message_class.aim * INITIAL_LATENCY_SHARE
+        )
 
     def _repeatable_until(self, message: Message) -> float:
         """Until when another attempt, or a refusal, cannot double the message's effect."""
-        kind = message.kind
+        kind = message.message_class
         if message.maybe_ran is None or kind.effect is Effect.SAFE:
             return NEVER
         if kind.effect is Effect.UNSAFE or (message.zoned and message.ran_in is None):
@@ -331,14 +382,16 @@
         """Whether its client may hand it in again: one that a single zone knows it may take to another."""
         return self._now < self._repeatable_until(message) and not (message.zoned and message.maybe_ran)
 
-    def _latest_start(self, message: Message) -> float:
+    def _latest_attempt_start(self, message: Message) -> float:
         """The last time at which a further attempt is allowed and a usual call still fits."""
-        repeat = self._repeatable_until(message) - self._set.connect_timeout - self._set.tick  # as it leaves
+        repeat = (
+            self._repeatable_until(message) - self._settings.connect_timeout - self._settings.tick
+        )  # as it leaves
         return min(message.due - self._usual(message), repeat)
 
     def _queue(self, message: Message) -> None:
         """Put a message in line at its destination, unless it cannot wait for the close."""
-        if message.attempts >= self._set.max_attempts or self._too_late(message):
+        if message.attempts >= self._settings.max_attempts or self._too_late(message):
             self._give_up(message)
         else:
             line = self._line(message)
@@ -346,13 +399,13 @@
             heappush(line.fresh, (message.aim_at, 0.0, self._sequence, message))
             self._waiting[line] = None
 
-    def _line(self, message: Message) -> Line:
+    def _line(self, message: Message) -> DestinationQueue:
         """Where a message waits: once it may have run, for the zone that drops its repeats."""
         return self._destination(message.destination).line(message.ran_in if message.zoned else None)
 
     def _too_late(self, message: Message) -> bool:
         """Whether a usual call fits neither now nor after the close."""
-        return max(self._now, self._close(message)) > self._latest_start(message)
+        return max(self._now, self._close(message)) > self._latest_attempt_start(message)
 
     def _close(self, message: Message) -> float:
         """When the first of the message's routes closes again; no endpoint yet is no reason to refuse."""
@@ -363,11 +416,19 @@
         """The final answer, at once, for a message that will not be sent again: a refusal where allowed."""
         if self._may_refuse(message):
             # At its turn there; one that may have run while it is known there, so at the close.
-            at = self._first_gate(self._line(message)) if message.maybe_ran is None else self._close(message)
-            wait = min(at - self._now, self._set.max_retry_after) if self._set.advises_retry_after else 0.0
-            self._out.append(api.Refuse(message.id, wait if wait > 0.0 else None))
+            at = (
+                self._queue_available_at(self._line(message))
+                if message.maybe_ran is None
+                else self._close(message)
+            )
+            wait = (
+                min(at - self._now, self._settings.max_retry_after)
+                if self._settings.advises_retry_after
+                else 0.0
+            )
+            self._actions.append(api.Refuse(message.id, wait if wait > 0.0 else None))
         else:
-            self._out.append(api.Fail(message.id))
+            self._actions.append(api.Fail(message.id))
         self._finish(message)
 
     def _finish(self, message: Message) -> None:
@@ -407,7 +468,7 @@
         def least_at_stake(message: Message) -> tuple[bool, float, float, float, int]:
             wait = waits[message.destination]  # one that would fail only if none is left that may come again
             may_wait = wait > 0.0 and self._may_refuse(message)
-            return may_wait, wait, -message.kind.worth, message.aim_at, message.id
+            return may_wait, wait, -message.message_class.worth, message.aim_at, message.id
 
         if unsent:
             self._give_up(max(unsent, key=least_at_stake))
@@ -415,14 +476,17 @@
     def _line_time(self, destination: Destination, count: int) -> float:
         """How long so many messages for it will be in line, at the pace that holds there now."""
         # Guards a healthy destination with small calls: unpaced, its line is over before that of a shut one.
-        gate, calls = self._first_gate(destination.line(None)), -(-count // destination.kind.max_batch)
+        gate, calls = (
+            self._queue_available_at(destination.line(None)),
+            -(-count // destination.kind.max_batch),
+        )
         if gate == NEVER:
             return NEVER
-        route = min(destination.routes.values(), key=self._gate)
+        route = min(destination.routes.values(), key=self._route_available_at)
         breaker = self._breakers.get(route.limit) or CircuitBreaker()
         each = max(destination.usual.values(), default=0.0) / self._slots
         if self._now < breaker.cold_until:
-            line = (calls + ITEM_WEIGHT * (count - calls)) / self._budget(breaker, route.limit)
+            line = (calls + EXTRA_MESSAGE_WEIGHT * (count - calls)) / self._budget(breaker, route.limit)
         else:
             line = calls * (self._gap(breaker, route.limit) if breaker.slowdown_steps else 0.0)
         return max(0.0, gate - self._now) + max(line, calls * each)
@@ -432,7 +496,7 @@
         while self._expiry and self._expiry[0][0] < self._now:
             message = self._messages.get(heappop(self._expiry)[1])
             if message is not None and message.in_line:
-                if (latest := self._latest_start(message)) < self._now:
+                if (latest := self._latest_attempt_start(message)) < self._now:
                     self._give_up(message)
                 else:
                     heappush(self._expiry, (latest, message.id))
@@ -444,11 +508,11 @@
         if message is None or message.call is None or event.attempt != message.attempts - 1:
             return
         call, outcome = message.call, event.outcome
-        if outcome not in NOT_RUN and message.maybe_ran is None:
+        if outcome not in NOT_RUN_OUTCOMES and message.maybe_ran is None:
             message.maybe_ran, message.ran_in = call.sent, call.route.zone
         call.left -= 1
         if not call.left:
-            if call.route.calls > (call.route.connections - 1) * self._set.calls_per_connection:
+            if call.route.calls > (call.route.connections - 1) * self._settings.calls_per_connection:
                 call.route.all_used = self._now
             self._calls -= 1
             call.route.limit.destination.calls -= 1
@@ -456,77 +520,85 @@
         self._learn(message, call, event)
         message.call = None
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            message.rest_until = self._now + self._set.order_pause
+            message.rest_until = self._now + self._settings.order_pause
         if message.over:
             self._forget(message)
         elif event.final:
             self._finish(message)
         else:
-            heappush(self._expiry, (self._latest_start(message), message.id))
+            heappush(self._expiry, (self._latest_attempt_start(message), message.id))
             self._queue(message)
-        if not call.left and (self._now < self._crowded_until or not self._worth_keeping(message)):
+        if not call.left and (self._now < self._crowded_until or not self._should_keep_connection(message)):
             # Guards against tables full of many senders' idle connections; at an outage it costs handshakes.
-            self._out.append(api.CloseIdle(call.route.address))
+            self._actions.append(api.CloseIdle(call.route.address))
             call.route.connections = call.route.calls
 
     def _learn(self, message: Message, call: Call, event: api.AttemptEnded) -> None:
         """What an outcome shows of its destination. A shared call has one fate and counts once."""
         route, limit, outcome, now = call.route, call.route.limit, event.outcome, self._now
-        report = dict(zip(self._set.report_fields, event.report, strict=False))
+        report = dict(zip(self._settings.report_fields, event.report, strict=False))
         limit.reported_limit = max(0.0, report.get("x1", limit.reported_limit))
         if outcome in (Outcome.OK, Outcome.FULL):
-            route.failed.pop(message.index, None)
+            route.avoid_until.pop(message.class_index, None)
         if outcome is Outcome.OK:
             limit.ok_sent = max(limit.ok_sent, call.sent)
             usual = limit.destination.usual
-            usual.setdefault(message.index, event.elapsed)
-            usual[message.index] += LEARN * (event.elapsed - usual[message.index])
+            usual.setdefault(message.class_index, event.elapsed)
+            usual[message.class_index] += LATENCY_EMA_WEIGHT * (event.elapsed - usual[message.class_index])
         if not call.judged:
             call.judged = True
             if outcome in (Outcome.OK, Outcome.RESET):
-                self._judge_idle(call, -STALE_BACK if outcome is Outcome.OK else 1.0)
+                self._judge_idle(call, -STALE_LOSS_RECOVERY if outcome is Outcome.OK else 1.0)
             if outcome is Outcome.OK:
                 # A gap beyond the aim would cost more than the refusals that it spares.
-                scarce = limit.reported_limit > 0.0 and report.get("x0", 1.0) < SCARCE
-                self._success(limit, scarce and self._rate(limit) * message.kind.aim >= 1.0)
+                scarce = limit.reported_limit > 0.0 and report.get("x0", 1.0) < LOW_REMAINING_SHARE
+                self._success(limit, scarce and self._rate(limit) * message.message_class.aim >= 1.0)
                 since = limit.refused_at.get(route, NEVER)
-                if call.sent >= since and self._crowded_until < since + CROWDED_FOR:
-                    self._crowded_until = since + CROWDED_FOR
-                    self._broadcast(CROWDED, limit)
+                if call.sent >= since and self._crowded_until < since + CROWDED_DURATION:
+                    self._crowded_until = since + CROWDED_DURATION
+                    self._broadcast(GOSSIP_CROWDED, limit)
             elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
                 if outcome is not Outcome.FULL:
                     self._shun(call)
                 if outcome is Outcome.CONNECT_FAILED:
                     limit.refused_at[route] = now
-                if outcome in NOT_RUN:
+                if outcome in NOT_RUN_OUTCOMES:
                     breaker = self._breakers.setdefault(limit, CircuitBreaker())
                     # One of many senders sees few calls taken. A limit that reports itself used up counts
                     # like one, unless the wait is too long for it; a wait with it unused tells of a shut one.
                     left = report.get("x0", 0.0) if limit.reported_limit else 0.0
-                    used_up = 0.0 < left < SPENT and (event.retry_after or 0.0) < SHUT_AFTER
+                    used_up = (
+                        0.0 < left < USED_UP_REMAINING_SHARE and (event.retry_after or 0.0) < OUTAGE_AFTER
+                    )
                     breaker.unreachable_since = NEVER if used_up else min(breaker.unreachable_since, now)
-                    if event.retry_after and left >= SPENT and limit.ok_sent < now - WINDOW:
+                    if (
+                        event.retry_after
+                        and left >= USED_UP_REMAINING_SHARE
+                        and limit.ok_sent < now - FAILURE_WINDOW
+                    ):
                         breaker.unreachable_since = -NEVER
                     breaker.slowdown_steps += outcome is Outcome.FULL
                 self._space(limit)
                 # A connect without an answer is silence: the host is gone. A full table says no at once.
-                gone = outcome is Outcome.CONNECT_FAILED and event.elapsed >= self._set.connect_timeout
-                self._failure(limit, None if gone else outcome)
+                gone = outcome is Outcome.CONNECT_FAILED and event.elapsed >= self._settings.connect_timeout
+                self._record_failure(limit, None if gone else outcome)
         breaker = self._breakers.get(limit) or CircuitBreaker()
-        explained = report.get("x0", 1.0) < SPENT and limit.ok_sent >= now - WINDOW  # by a limit used up
+        explained = (
+            report.get("x0", 1.0) < USED_UP_REMAINING_SHARE and limit.ok_sent >= now - FAILURE_WINDOW
+        )  # by a limit used up
         if event.retry_after:
             self._breakers[limit] = breaker
-            self._open(breaker, limit.destination, now + event.retry_after + self._set.tick)
+            self._open(breaker, limit.destination, now + event.retry_after + self._settings.tick)
         elif outcome is Outcome.FULL and not explained and self._newly_shut(breaker):
             self._open(breaker, limit.destination, now)  # an opening of no length: only the return is paced
 
     def _shun(self, call: Call) -> None:
         """Prefer other endpoints for a window; a class that succeeds here meanwhile is out of it."""
-        call.route.failed = dict.fromkeys(range(len(self._set.classes)), self._now + WINDOW)
+        call.route.avoid_until = dict.fromkeys(range(len(self._settings.classes)), self._now + FAILURE_WINDOW)
 
     def _judge_idle(self, call: Call, weight: float) -> None:
         """Learn after how long the path drops idle connections, losing calls; a mistake costs handshakes."""
-        if call.idle > self._set.keepalive * IDLE_PART and self._stale < STALE:
+        if call.idle > self._settings.keepalive * MIN_IDLE_SHARE and self._stale < STALE_LOSS_THRESHOLD:
             self._stale = max(0.0, self._stale + weight)
             if weight > 0.0:
                 self._idle_limit = min(self._idle_limit, call.idle)
@@ -539,11 +611,11 @@
             answers = call.route.limit.ok_sent > call.sent
             if call.left:
                 self._stuck = [*(stuck for stuck in self._stuck if stuck.left), call]
-                self._judge_idle(call, 1.0 if answers else STALE_BACK)
+                self._judge_idle(call, 1.0 if answers else STALE_LOSS_RECOVERY)
                 self._shun(call)
                 if not answers and not call.judged:
                     call.judged = True
-                    self._failure(call.route.limit, None)
+                    self._record_failure(call.route.limit, None)
 
     # ---- the endpoint list ----
 
@@ -565,16 +637,16 @@
                 self._remove(endpoint.address)
                 continue
             destination = self._destination(endpoint.destination)
-            destination.kind = self._set.kinds[endpoint.kind]
+            destination.kind = self._settings.kinds[endpoint.kind]
             if endpoint.address not in destination.routes:
                 apart, (host, port) = destination.kind.separate_routes, endpoint.address
                 plain = (n := endpoint.destination).to_bytes(n.bit_length() // 8 + 1, signed=True)
                 key = host + port.to_bytes(2) if apart else plain
                 if (limit := self._limits.get(key)) is None or limit.destination is not destination:
-                    limit = self._limits[key] = Limit(key, destination)
+                    limit = self._limits[key] = BreakerScope(key, destination)
                 destination.routes[endpoint.address] = Route(endpoint.address, endpoint.zone, limit)
                 self._where[endpoint.address] = endpoint.destination
-            destination.routes[endpoint.address].limit.listed = endpoint.rate * self._set.listed_rates
+            destination.routes[endpoint.address].limit.listed = endpoint.rate * self._settings.listed_rates
 
     def _remove(self, address: api.Address) -> None:
         """Draining or gone: nothing new goes there from this turn on."""
@@ -585,21 +657,23 @@
 
     def _dispatch(self) -> float:
         """Send what may go, the most pressing first; returns when to look again."""
-        order: list[tuple[bool, float, int, Line]] = []
+        order: list[tuple[bool, float, int, DestinationQueue]] = []
         wake = min((self._line_up(order, line) for line in list(self._waiting)), default=NEVER)
-        while order and self._calls < self._set.max_calls:
+        while order and self._calls < self._settings.max_calls:
             line = heappop(order)[-1]
             if line.destination.calls < self._slots:
-                if self._first_gate(line) <= self._now:  # another line may have taken the turn
-                    self._send(line)
+                if self._queue_available_at(line) <= self._now:  # another line may have taken the turn
+                    self._send_call(line)
                 wake = min(wake, self._line_up(order, line))
-        if order and self._set.may_cancel and self._calls >= self._set.max_calls:
+        if order and self._settings.may_cancel and self._calls >= self._settings.max_calls:
             self._free_slots(len(order))
         return wake
 
-    def _line_up(self, order: list[tuple[bool, float, int, Line]], line: Line) -> float:
+    def _line_up(
+        self, order: list[tuple[bool, float, int, DestinationQueue]], line: DestinationQueue
+    ) -> float:
         """Rank a line's next call; returns when it may go, if that is later."""
-        head, gate = self._head(line), self._first_gate(line)
+        head, gate = self._head(line), self._queue_available_at(line)
         if head is None:
             del self._waiting[line]
         elif gate > self._now:
@@ -612,13 +686,17 @@
     def _free_slots(self, wanted: int) -> None:
         """Cut calls stuck at silent destinations when others need their slots, repeatable ones first."""
         # Guards against slots full of calls that wait for their deadline. Could lose an answer still to come.
-        stuck = sorted(self._stuck, key=lambda c: sum(m.kind.effect is Effect.UNSAFE for m in c.messages))
+        stuck = sorted(
+            self._stuck, key=lambda c: sum(m.message_class.effect is Effect.UNSAFE for m in c.messages)
+        )
         for call in stuck:
             if wanted and call.left and (call.route.limit.ok_sent < call.sent or self._now > call.lost_at):
                 wanted -= 1
-                self._out.extend(api.Cancel(m.id, m.attempts - 1) for m in call.messages if m.call is call)
+                self._actions.extend(
+                    api.Cancel(m.id, m.attempts - 1) for m in call.messages if m.call is call
+                )
 
-    def _head(self, line: Line) -> tuple[bool, float] | None:
+    def _head(self, line: DestinationQueue) -> tuple[bool, float] | None:
         """The rank of the next call: in time before late, then by slot time for each unit of worth."""
         size = min(line.destination.kind.max_batch, len(line.fresh) + len(line.late))
         for entries, is_late in ((line.fresh, False), (line.late, True)):
@@ -626,22 +704,24 @@
                 message = entries[0][-1]
                 in_line = message.in_line
                 if in_line and (is_late or self._now + self._usual(message) <= message.aim_at):
-                    return is_late, self._usual(message) / (size * message.kind.worth)
+                    return is_late, self._usual(message) / (size * message.message_class.worth)
                 heappop(entries)
                 if in_line:
-                    heappush(line.late, (-message.kind.worth, -message.aim_at, message.id, message))
+                    heappush(line.late, (-message.message_class.worth, -message.aim_at, message.id, message))
         return None
 
-    def _send(self, line: Line) -> None:
+    def _send_call(self, line: DestinationQueue) -> None:
         """Make one call."""
-        now, per, destination = self._now, self._set.calls_per_connection, line.destination
-        routes = [route for route in line.routes() if self._gate(route) <= now]
-        index = (line.fresh or line.late)[0][-1].index
+        now, per, destination = self._now, self._settings.calls_per_connection, line.destination
+        routes = [route for route in line.routes() if self._route_available_at(route) <= now]
+        index = (line.fresh or line.late)[0][-1].class_index
 
         def preference(route: Route) -> tuple[bool, float, float]:
-            price = AWAY * (route.zone != self._home) + (0.0 if self._connected(route) else NEW_CONNECTION)
+            price = CROSS_ZONE_PENALTY * (route.zone != self._home_zone) + (
+                0.0 if self._connected(route) else NEW_CONNECTION_PENALTY
+            )
             # Of equals any: every sender has the list in one order, and all would take the first.
-            return route.failed.get(index, 0.0) > now, route.calls + price, self._random.random()
+            return route.avoid_until.get(index, 0.0) > now, route.calls + price, self._random.random()
 
         route = min(routes, key=preference)
         breaker = self._breakers.get(route.limit) or CircuitBreaker()
@@ -649,9 +729,9 @@
         call, size, overdue = Call(route, now), self._most(breaker, destination.kind), 0.0
         if not self._connected(route):
             route.connections += 1
-        elif self._stale >= STALE and now - route.all_used >= self._idle_limit:
+        elif self._stale >= STALE_LOSS_THRESHOLD and now - route.all_used >= self._idle_limit:
             # Something on the path drops idle connections early, and the next call there is lost.
-            self._out.append(api.CloseIdle(route.address))
+            self._actions.append(api.CloseIdle(route.address))
             route.connections = route.calls // per + 1
         else:
             call.idle = now - route.all_used
@@ -664,48 +744,54 @@
             call.messages.append(message)
             message.attempts += 1
             call.left += 1
-            silent = OVERDUE * self._usual(message) + OVERDUE_REST
+            silent = OVERDUE_LATENCY_MULTIPLE * self._usual(message) + OVERDUE_SLACK
             overdue = max(overdue, silent)
-            unsafe = message.kind.effect is Effect.UNSAFE
-            give_up = None if unsafe else min(message.due, now + silent * PATIENCE)
-            self._out.append(api.Send(message.id, route.address, give_up, self._repeatable_until(message)))
+            unsafe = message.message_class.effect is Effect.UNSAFE
+            give_up = None if unsafe else min(message.due, now + silent * TIMEOUT_OVERDUE_MULTIPLE)
+            self._actions.append(
+                api.Send(message.id, route.address, give_up, self._repeatable_until(message))
+            )
         destination.calls += 1
         self._calls += 1
         self._sequence += 1
-        call.lost_at = now + overdue * PATIENCE
+        call.lost_at = now + overdue * TIMEOUT_OVERDUE_MULTIPLE
         heappush(self._overdue, (now + overdue, self._sequence, call))
         self._space(route.limit)
 
-    def _worth_keeping(self, message: Message) -> bool:
+    def _should_keep_connection(self, message: Message) -> bool:
         """Whether its next call comes so soon that a connection earns its place in the endpoint's table."""
         # Guards against tables full of idle connections: who holds one is not turned away and never learns.
-        destination, senders = self._destination(message.destination), self._set.senders
-        if self._set.may_tell_peers or any(  # a sender that is turned away tells of it, or one may go now
-            e in self._waiting and self._first_gate(e) <= self._now for e in destination.lines.values()
+        destination, senders = self._destination(message.destination), self._settings.senders
+        if (
+            self._settings.may_tell_peers
+            or any(  # a sender that is turned away tells of it, or one may go now
+                e in self._waiting and self._queue_available_at(e) <= self._now
+                for e in destination.lines.values()
+            )
         ):
             return True
-        in_use = destination.flow * self._usual(message) / BUSY_PART
-        return senders * (1.0 - in_use) <= HANDFUL
+        in_use = destination.flow * self._usual(message) / MIN_CONNECTION_UTILIZATION
+        return senders * (1.0 - in_use) <= MIN_CONNECTION_TABLE_SIZE
 
     def _connected(self, route: Route) -> bool:
         """Whether a connection is believed free there: a new one costs time and has a price."""
-        if self._now - route.all_used > self._set.keepalive:
-            route.connections = -(-route.calls // self._set.calls_per_connection)
-        return route.calls < route.connections * self._set.calls_per_connection
+        if self._now - route.all_used > self._settings.keepalive:
+            route.connections = -(-route.calls // self._settings.calls_per_connection)
+        return route.calls < route.connections * self._settings.calls_per_connection
 
-    def _take(self, line: Line, unproven: bool) -> Message:
+    def _take(self, line: DestinationQueue, unproven: bool) -> Message:
         """The next message to send. On an unproven destination one that may be repeated goes first."""
         for message in line.waiting() if unproven else ():
-            if message.kind.effect is not Effect.UNSAFE:
+            if message.message_class.effect is not Effect.UNSAFE:
                 for entries in (line.fresh, line.late):  # it leaves its place: it may be held to a zone next
                     entries[:] = sorted(entry for entry in entries if entry[-1] is not message)
                 return message
         return heappop(line.fresh or line.late)[-1]
 
     def _set_timer(self, wake: float) -> None:
-        for line, late in ((self._overdue, 0.0), (self._resting, 0.0), (self._expiry, self._set.tick)):
+        for line, late in ((self._overdue, 0.0), (self._resting, 0.0), (self._expiry, self._settings.tick)):
             if line:
                 wake = min(wake, line[0][0] + late)
         if wake < self._wake:
             self._wake, self._timers = wake, self._timers + 1
-            self._out.append(api.SetTimer(max(0.0, min(wake - self._now, 3600.0)), self._timers))
+            self._actions.append(api.SetTimer(max(0.0, min(wake - self._now, 3600.0)), self._timers))
--- a/irisstack/delivery_state.py
+++ b/irisstack/delivery_state.py
@@ -12,7 +12,7 @@
 class CircuitBreaker:
     """The circuit breaker of one destination (or route): everything that is known of its trouble."""
 
-    count: int = 0
+    failures: int = 0
     shared: int = 0  # of these, the ones that all senders were told of
     successes: int = 0  # calls that succeeded in the same window
     window_end: float = 0.0
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Limit:
+class BreakerScope:
     """What calls to a destination, or to one of its routes apart, have in common: breaker, limit, outages."""
 
     key: bytes  # names it in notes: the destination's number, or the route's address
@@ -43,11 +43,11 @@
 
     address: api.Address
     zone: int
-    limit: Limit
+    limit: BreakerScope
     calls: int = 0
     connections: int = 0  # believed open
     all_used: float = 0.0  # when all of its connections were last in use
-    failed: dict[int, float] = field(default_factory=dict)  # until when it is second choice, by class
+    avoid_until: dict[int, float] = field(default_factory=dict)  # until when it is second choice, by class
 
 
 @dataclass(slots=True, eq=False)
@@ -57,24 +57,26 @@
     number: int
     kind: api.DestinationKind = field(default_factory=lambda: api.DestinationKind("unknown"))
     routes: dict[api.Address, Route] = field(default_factory=dict)
-    lines: "dict[int | None, Line]" = field(default_factory=dict)  # by the zone that they are held to
+    lines: "dict[int | None, DestinationQueue]" = field(
+        default_factory=dict
+    )  # by the zone that they are held to
     usual: dict[int, float] = field(default_factory=dict)
     flow: float = 0.0  # messages a second of late for it that came to this sender
     flow_at: float = 0.0
     calls: int = 0
 
-    def line(self, zone: int | None) -> "Line":
-        return self.lines.get(zone) or self.lines.setdefault(zone, Line(self, zone))
+    def line(self, zone: int | None) -> "DestinationQueue":
+        return self.lines.get(zone) or self.lines.setdefault(zone, DestinationQueue(self, zone))
 
 
 @dataclass(slots=True, eq=False)
-class Line:
+class DestinationQueue:
     """Messages that wait for any route of a destination, or for one in the zone that drops their repeats."""
 
     destination: Destination
     zone: int | None
-    fresh: "list[Entry]" = field(default_factory=list)  # by end of the aim
-    late: "list[Entry]" = field(default_factory=list)  # by worth, newest first
+    fresh: "list[QueueEntry]" = field(default_factory=list)  # by end of the aim
+    late: "list[QueueEntry]" = field(default_factory=list)  # by worth, newest first
 
     def waiting(self) -> "list[Message]":
         return [entry[-1] for entry in (*self.fresh, *self.late) if entry[-1].in_line]
@@ -101,8 +103,8 @@
     """A message that is owed its final answer, or that still has an attempt out."""
 
     id: int
-    index: int  # of its class
-    kind: api.MessageClass
+    class_index: int
+    message_class: api.MessageClass
     destination: int
     due: float
     aim_at: float
@@ -117,11 +119,14 @@
     @property
     def zoned(self) -> bool:
         """Whether its repeats are dropped by the endpoints of one zone alone."""
-        return self.kind.effect is Effect.KEYED and self.kind.dedup_scope is api.DedupScope.ZONE
+        return (
+            self.message_class.effect is Effect.KEYED
+            and self.message_class.dedup_scope is api.DedupScope.ZONE
+        )
 
     @property
     def in_line(self) -> bool:
         return not self.over and self.call is None  # owed an answer, with no attempt out
 
 
-Entry = tuple[float, float, int, Message]  # rank, second rank, a number that settles ties, the message
+QueueEntry = tuple[float, float, int, Message]  # rank, second rank, a number that settles ties, the message
--- a/irisstack/lab/scale/gossip_experiments.py
+++ b/irisstack/lab/scale/gossip_experiments.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from irisstack import interface as api
-from irisstack.choice import FAILED, Sender
+from irisstack.choice import GOSSIP_FAILURE, Sender
 from irisstack.lab.capacity import targets
 from irisstack.lab.scale.destinations import Destination, Failure, Outage
 from irisstack.lab.scale.fleet import Fleet
@@ -195,7 +195,7 @@
     )
     sender.turn(0.0, [api.EndpointsUpdated(api.UpdateScope.CACHED, 1, endpoints)])
     failing = max(1, round(destinations * targets.DESTINATIONS_DOWN_SHARE))
-    events = [[api.PeerMessage(1, FAILED + _key(1 + i % failing))] for i in range(messages)]
+    events = [[api.PeerMessage(1, GOSSIP_FAILURE + _key(1 + i % failing))] for i in range(messages)]
     began = time.process_time()
     for i, event in enumerate(events):
         sender.turn(1.0 + i * 0.001, event)
--- a/irisstack/lab/scale/node_experiments.py
+++ b/irisstack/lab/scale/node_experiments.py
@@ -9,7 +9,7 @@
 from statistics import median
 from typing import Protocol
 
-from irisstack.choice import FAILED
+from irisstack.choice import GOSSIP_FAILURE
 from irisstack.lab import scenario, world
 from irisstack.lab.capacity import targets
 from irisstack.lab.node_settings import settings_object
@@ -174,7 +174,7 @@
         while sent < rate * (burst + 1) / GOSSIP_BURSTS_PER_S:
             number = 1 + sent % failing
             key = number.to_bytes(number.bit_length() // 8 + 1, signed=True)
-            sock.sendto(FAILED + key, receiver.address)
+            sock.sendto(GOSSIP_FAILURE + key, receiver.address)
             sent += 1
         time.sleep(max(0.0, began + (burst + 1) / GOSSIP_BURSTS_PER_S - time.monotonic()))
     return (receiver.processor_s() - before) / (time.monotonic() - began)
--- a/irisstack/list_refresh.py
+++ b/irisstack/list_refresh.py
@@ -1,9 +1,9 @@
 """Decides when a node asks for the endpoint list again after a call for it has failed.
 
-A change of the list counts as told `NEWS_DUE` seconds after its service had it, whatever became of the calls
-that should have brought it. So what bounds the next call is the time since the list was last known to be
-the newest, and not how the last call failed. Only once that time is over do pauses grow as the service needs
-it to work off its queue.
+A change of the list counts as told `NOTIFICATION_DEADLINE` seconds after its service had it, whatever became
+of the calls that should have brought it. So what bounds the next call is the time since the list was last
+known to be the newest, and not how the last call failed. Only once that time is over do pauses grow as the
+service needs it to work off its queue.
 """
 
 import math
@@ -16,7 +16,7 @@
 MOST_DOUBLINGS = 4
 START_SPREAD = 0.25
 """Of that pause, in which the senders of a fleet first ask."""
-NEWS_DUE = 6.0
+NOTIFICATION_DEADLINE = 6.0
 """Seconds after which news of the list counts as told."""
 LAST_CALL = 5.0
 """Seconds after which no call should have to begin that brings such news: its answer takes time as well."""
@@ -24,7 +24,7 @@
 """The time that is left is shared out among so many further calls, since each of them may fail."""
 CROWDED_TRIES_LEFT = 1.5
 """The same for a large fleet once a call was kept waiting: its service may answer that one yet."""
-ANSWER_LATE = 1.2
+ANSWER_OVERDUE_AFTER = 1.2
 """Seconds without an answer after which a call is told as failed; it may be answered yet."""
 SHORTEST_PAUSE = 0.15
 SHORTEST_PAUSE_EACH = 0.005
@@ -93,24 +93,26 @@
 
     def _news_pause(self, now: float, unheard: float) -> float:
         """The longest pause with which news of now can still be had in time; infinity if none can be."""
-        overdue = now > self._confirmed_at + NEWS_DUE  # what was missed first; what came later is not
+        overdue = (
+            now > self._confirmed_at + NOTIFICATION_DEADLINE
+        )  # what was missed first; what came later is not
         if overdue and unheard <= AT_ONCE:
             self._unavailable_at = now  # no news could be had before
         since = max(self._confirmed_at, self._unavailable_at) if overdue else self._confirmed_at
         left = since + LAST_CALL - now
-        if LOAD_PAUSE * self._senders >= NEWS_DUE:
+        if LOAD_PAUSE * self._senders >= NOTIFICATION_DEADLINE:
             return self._large_fleet_pause(left)
-        if now > since + NEWS_DUE:
-            left += NEWS_DUE
-        if left < LAST_CALL - NEWS_DUE:
+        if now > since + NOTIFICATION_DEADLINE:
+            left += NOTIFICATION_DEADLINE
+        if left < LAST_CALL - NOTIFICATION_DEADLINE:
             return math.inf
         if unheard > AT_ONCE:  # so may the calls to come be
-            left -= ANSWER_LATE * max(0, int((left + AT_ONCE) / ANSWER_LATE) - 1)
+            left -= ANSWER_OVERDUE_AFTER * max(0, int((left + AT_ONCE) / ANSWER_OVERDUE_AFTER) - 1)
         return max(SHORTEST_PAUSE, left / TRIES_LEFT)
 
     def _large_fleet_pause(self, left: float) -> float:
         """The same for a fleet that cannot be served in time by a service that lets call after call wait."""
-        if left < LAST_CALL - NEWS_DUE or self._waits > 1:
+        if left < LAST_CALL - NOTIFICATION_DEADLINE or self._waits > 1:
             return math.inf
         tries = CROWDED_TRIES_LEFT if self._waits else TRIES_LEFT
         return max(SHORTEST_PAUSE_EACH * self._senders, left / tries)
--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -17,7 +17,7 @@
 from gevent.queue import Empty, Queue
 
 from irisstack import interface as api
-from irisstack.choice import NOT_RUN, Sender
+from irisstack.choice import NOT_RUN_OUTCOMES, Sender
 from irisstack.node.config import name_of, peer_of
 from irisstack.node.counters import Counters
 from irisstack.node.endpoint import Call, CallOff, CloseIdle, Command, Ended, Hold, Outgoing
@@ -378,7 +378,7 @@
                 report=result.report,
             )
         if owed:
-            ran = result.outcome not in NOT_RUN
+            ran = result.outcome not in NOT_RUN_OUTCOMES
             turn.records.append(self._store.end(ended.number, ended.attempt, ran))
             if result.over:
                 name = "delivered" if result.outcome is api.Outcome.OK else "withdrawn"
--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -11,7 +11,7 @@
 from gevent.queue import Queue
 
 from irisstack import interface as api
-from irisstack.list_refresh import NEWS_DUE
+from irisstack.list_refresh import NOTIFICATION_DEADLINE
 from irisstack.node.config import HostPort, name_of, peer_of
 from irisstack.node.counters import Counters
 from irisstack.node.list_call import CallFailure, ListCall, Query
@@ -24,7 +24,8 @@
 OLDEST_KEPT = 2
 """Of these, so many of the oldest stay: a service that works through calls in turn comes to them first."""
 NEWS_DUE_AFTER_MOVE = 4.0
-"""Seconds, in place of `NEWS_DUE`, after which news of the list counts as told once discovery has moved."""
+"""Seconds, in place of `NOTIFICATION_DEADLINE`, after which news of the list counts as told once
+discovery has moved."""
 MOST_NAMED = 8
 """Endpoints that one line of the log names at most."""
 LOGGED_FAILURES, LOGGED_EVERY = 5, 50
@@ -141,7 +142,7 @@
         """
         self._peer, self._revision = peer, 0
         # What the new address has counts as told sooner, as if the list were older by the difference.
-        self._confirmed_at = time.monotonic() - (NEWS_DUE - NEWS_DUE_AFTER_MOVE)
+        self._confirmed_at = time.monotonic() - (NOTIFICATION_DEADLINE - NEWS_DUE_AFTER_MOVE)
         self._end_watches()
         if self._wanted:
             self._hold_watch()
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -17,7 +17,7 @@
 from irisstack.node.config import HostPort, name_of
 from irisstack.node.objects import ObjectStream
 
-ANSWER_LATE = list_refresh.ANSWER_LATE
+ANSWER_LATE = list_refresh.ANSWER_OVERDUE_AFTER
 """Seconds from its begin after which a call without a word is late: another may be begun beside it."""
 COMING_LATE = 1.8
 """The same for one whose bytes are coming."""
--- a/irisstack/watch.py
+++ b/irisstack/watch.py
@@ -8,8 +8,8 @@
 from enum import StrEnum
 
 from irisstack import interface as api
-from irisstack.choice import THRESHOLD, Sender
-from irisstack.delivery_state import Limit, Line, Message
+from irisstack.choice import FAILURE_THRESHOLD, Sender
+from irisstack.delivery_state import BreakerScope, DestinationQueue, Message
 
 
 class Kind(StrEnum):
@@ -39,44 +39,49 @@
         self._tells = trial.may_tell_peers and not settings.may_tell_peers
         self._trial_home = trial.zone if trial.cross_zone_price else None
 
-    def _failure(self, limit: Limit, reason: api.Outcome | None, from_gossip: bool = False) -> bool:
+    def _record_failure(
+        self, limit: BreakerScope, reason: api.Outcome | None, from_gossip: bool = False
+    ) -> bool:
         breaker = self._breakers.get(limit)
         counts = breaker is None or self._now >= breaker.open_until
-        before = breaker.count if breaker is not None and self._now < breaker.window_end else 0
-        opened = super()._failure(limit, reason, from_gossip)
+        before = breaker.failures if breaker is not None and self._now < breaker.window_end else 0
+        opened = super()._record_failure(limit, reason, from_gossip)
         if self._tells and counts and reason not in (api.Outcome.FULL, api.Outcome.RESET):
             self._count(Kind.NOTE)
-        if self._tells and opened and before + 1 < THRESHOLD:
+        if self._tells and opened and before + 1 < FAILURE_THRESHOLD:
             self._count(Kind.OPENED_ALONE)
         return opened
 
-    def _worth_keeping(self, message: Message) -> bool:
-        keep = super()._worth_keeping(message)
+    def _should_keep_connection(self, message: Message) -> bool:
+        keep = super()._should_keep_connection(message)
         if self._tells and not keep:
             self._count(Kind.CONNECTION_CLOSED)
         return keep
 
-    def _send(self, line: Line) -> None:
-        free = [route for route in line.routes() if self._gate(route) <= self._now]
-        before = len(self._out)
-        super()._send(line)
-        if self._trial_home in (None, self._home):
+    def _send_call(self, line: DestinationQueue) -> None:
+        free = [route for route in line.routes() if self._route_available_at(route) <= self._now]
+        before = len(self._actions)
+        super()._send_call(line)
+        if self._trial_home in (None, self._home_zone):
             return
-        sent = next(act for act in self._out[before:] if isinstance(act, api.Send))
-        index = self._messages[sent.message].index
+        sent = next(act for act in self._actions[before:] if isinstance(act, api.Send))
+        index = self._messages[sent.message].class_index
         home = [
             route.address
             for route in free
-            if route.zone == self._trial_home and route.failed.get(index, 0.0) <= self._now
+            if route.zone == self._trial_home and route.avoid_until.get(index, 0.0) <= self._now
         ]
         if home and sent.endpoint not in home:
             self._count(Kind.OTHER_ZONE)
 
     def _give_up(self, message: Message) -> None:
-        kind = message.kind
-        if message.maybe_ran is not None and self._latest_start(message) < self._now:
-            message.kind = self._trial.classes[message.index]
-            if message.attempts < self._trial.max_attempts and self._latest_start(message) >= self._now:
+        kind = message.message_class
+        if message.maybe_ran is not None and self._latest_attempt_start(message) < self._now:
+            message.message_class = self._trial.classes[message.class_index]
+            if (
+                message.attempts < self._trial.max_attempts
+                and self._latest_attempt_start(message) >= self._now
+            ):
                 self._count(Kind.GIVEN_UP)
-            message.kind = kind
+            message.message_class = kind
         super()._give_up(message)
--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -49,8 +49,8 @@
 
 def test_a_repeat_carries_the_end_of_its_window_and_a_first_attempt_none() -> None:
     driver = Driver(endpoint(1))
-    driver.message(1, 1.0, KEYED_INDEX)
-    driver.end(1, Outcome.RESET, 1.5)
+    driver.submit(1, 1.0, KEYED_INDEX)
+    driver.end_attempt(1, Outcome.RESET, 1.5)
     driver.turn(5.0)
     assert [send.leave_by for _, send in driver.sends] == [float("inf"), 1.0 + KEYED.dedup_window]
 
@@ -142,18 +142,20 @@
     zoned = tuple(replace(kind, dedup_scope=DedupScope.ZONE) for kind in CLASSES)
     driver = Driver(endpoint(1, zone=0), endpoint(2, zone=1), classes=zoned, zones=("a", "b"), seed=seed)
     outage = (1, 2, 3)
-    driver.turn(1.0, *(driver.received(number, 1.0) for number in outage))
-    driver.turn(1.1, *(driver.outcome(number, Outcome.ERROR, 1.1) for number in outage))
+    driver.turn(1.0, *(driver.message_received(number, 1.0) for number in outage))
+    driver.turn(1.1, *(driver.attempt_ended(number, Outcome.ERROR, 1.1) for number in outage))
     driver.turn(1.2, *(MessageWithdrawn(number) for number in outage))
-    driver.turn(1.3, driver.received(4, 1.3, UNSAFE_INDEX), driver.received(5, 1.3, KEYED_INDEX))
-    driver.wait_for(5)
-    zone = driver.where[5]
-    assert not driver.sent(4)
+    driver.turn(
+        1.3, driver.message_received(4, 1.3, UNSAFE_INDEX), driver.message_received(5, 1.3, KEYED_INDEX)
+    )
+    driver.run_until_sent(5)
+    zone = driver.last_endpoint[5]
+    assert not driver.send_times(4)
     at = driver.now + 0.1
-    driver.turn(at, driver.outcome(5, Outcome.RESET, at), MessageWithdrawn(4))
-    driver.wait_for(5, attempts=2)
-    assert len(driver.sent(5)) == 2
-    assert driver.where[5] == zone
+    driver.turn(at, driver.attempt_ended(5, Outcome.RESET, at), MessageWithdrawn(4))
+    driver.run_until_sent(5, attempts=2)
+    assert len(driver.send_times(5)) == 2
+    assert driver.last_endpoint[5] == zone
 
 
 # ---- a shared call and time ----
--- a/tests/returning_fleet.py
+++ b/tests/returning_fleet.py
@@ -123,9 +123,9 @@
         match event:
             case MessageArrives(message):
                 index = self._random.choice([SAFE_INDEX, KEYED_INDEX, UNSAFE_INDEX])
-                driver.message(message, now, index, due=now + MESSAGE_LIFE)
+                driver.submit(message, now, index, due=now + MESSAGE_LIFE)
             case CallEnds(message, outcome):
-                driver.end(message, outcome, now)
+                driver.end_attempt(message, outcome, now)
                 self._told[sender] |= outcome is not Outcome.OK
             case TimerDue() if driver.next_timer() == now:
                 driver.fire_timer()
--- a/tests/support.py
+++ b/tests/support.py
@@ -78,11 +78,11 @@
         self.refused: dict[int, api.Refuse] = {}
         self.failed: set[int] = set()
         self.attempts: dict[int, int] = {}
-        self.where: dict[int, api.Address] = {}
-        self.sent_at: dict[int, float] = {}
+        self.last_endpoint: dict[int, api.Address] = {}
+        self.last_sent_at: dict[int, float] = {}
         self.timers: list[tuple[float, int]] = []
         self.subscribed: list[float] = []
-        self.told: list[tuple[float, bytes]] = []
+        self.gossip_sent: list[tuple[float, bytes]] = []
         self.closed_idle: list[tuple[float, api.Address]] = []
         self.cancelled: list[tuple[float, int]] = []
         self.turn(0.0, api.EndpointsUpdated(api.UpdateScope.CACHED, 1, endpoints or (endpoint(1),)))
@@ -111,7 +111,7 @@
                 case api.Send(message, to):
                     self.sends.append((now, act))
                     self.attempts[message] = self.attempts.get(message, -1) + 1
-                    self.where[message], self.sent_at[message] = to, now
+                    self.last_endpoint[message], self.last_sent_at[message] = to, now
                 case api.Refuse(message):
                     self.refused[message] = act
                 case api.Fail(message):
@@ -119,7 +119,7 @@
                 case api.Cancel(message):
                     self.cancelled.append((now, message))
                 case api.TellPeer(None, data):
-                    self.told.append((now, data))
+                    self.gossip_sent.append((now, data))
                 case api.CloseIdle(to):
                     self.closed_idle.append((now, to))
                 case api.Subscribe(True):
@@ -128,7 +128,7 @@
                     self.timers.append((now + max(delay, 0.005), token))
         return actions
 
-    def message(
+    def submit(
         self,
         number: int,
         at: float,
@@ -137,9 +137,9 @@
         key: int | None = None,
         due: float | None = None,
     ) -> list[api.Action]:
-        return self.turn(at, self.received(number, at, index, destination, key, due))
+        return self.turn(at, self.message_received(number, at, index, destination, key, due))
 
-    def received(
+    def message_received(
         self,
         number: int,
         at: float,
@@ -151,7 +151,7 @@
         when = at + CLASSES[index].deadline if due is None else due
         return api.MessageReceived(number, index, destination, when, key=key)
 
-    def outcome(
+    def attempt_ended(
         self,
         number: int,
         outcome: api.Outcome,
@@ -161,9 +161,9 @@
     ) -> api.AttemptEnded:
         return api.AttemptEnded(
             number,
-            self.where[number],
+            self.last_endpoint[number],
             self.attempts[number],
-            at - self.sent_at[number],
+            at - self.last_sent_at[number],
             outcome is api.Outcome.OK,
             outcome,
             retry_after,
@@ -171,7 +171,7 @@
             report,
         )
 
-    def end(
+    def end_attempt(
         self,
         number: int,
         outcome: api.Outcome,
@@ -179,22 +179,22 @@
         retry_after: float | None = None,
         report: tuple[float, ...] = (),
     ) -> list[api.Action]:
-        return self.turn(at, self.outcome(number, outcome, at, retry_after, report))
+        return self.turn(at, self.attempt_ended(number, outcome, at, retry_after, report))
 
-    def sent(self, number: int) -> list[float]:
+    def send_times(self, number: int) -> list[float]:
         return [at for at, send in self.sends if send.message == number]
 
-    def wait_for(self, number: int, attempts: int = 1) -> float:
+    def run_until_sent(self, number: int, attempts: int = 1) -> float:
         """Let time pass until the message has been sent so often; returns the time, 30 s on at the latest."""
         for _ in range(300):
-            if len(self.sent(number)) < attempts:
+            if len(self.send_times(number)) < attempts:
                 self.turn(self.now + 0.1)
         return self.now
 
-    def serve(self, first: int, count: int, at: float, gap: float = 0.5, destination: int = 1) -> float:
+    def deliver(self, first: int, count: int, at: float, gap: float = 0.5, destination: int = 1) -> float:
         """Hand in messages one after another and answer each with success; returns the time after."""
         for number in range(first, first + count):
-            self.message(number, at, destination=destination)
-            self.end(number, api.Outcome.OK, at + 0.1)
+            self.submit(number, at, destination=destination)
+            self.end_attempt(number, api.Outcome.OK, at + 0.1)
             at += gap
         return at
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -24,7 +24,7 @@
         out = driver.sends[seen:]
         seen = len(driver.sends)
         for number, (_, send) in enumerate(out):
-            driver.end(send.message, Outcome.FULL if number < refusals else Outcome.OK, now)
+            driver.end_attempt(send.message, Outcome.FULL if number < refusals else Outcome.OK, now)
         refusals = max(0, refusals - len(out))
         driver.turn(now)
     assert {send.message for _, send in driver.sends} == set(owed)
@@ -44,7 +44,7 @@
         assert at <= send.leave_by == ran + window
     ends = {**driver.refused, **dict.fromkeys(driver.failed)}
     assert bool(driver.sends) != bool(ends)
-    assert bool(driver.sends) == (window - away > driver.sender._set.connect_timeout)
+    assert bool(driver.sends) == (window - away > driver.sender._settings.connect_timeout)
 
 
 def test_a_node_is_ready_with_nobody_there(tmp_path: Path) -> None:
--- a/tests/test_settings_event.py
+++ b/tests/test_settings_event.py
@@ -33,33 +33,33 @@
 
 def test_a_held_message_keeps_the_terms_of_its_class() -> None:
     driver = Driver(endpoint(1, state=api.EndpointState.GONE))
-    driver.message(1, 1.0, SAFE_INDEX)
-    driver.message(2, 1.0, UNSAFE_INDEX)
+    driver.submit(1, 1.0, SAFE_INDEX)
+    driver.submit(2, 1.0, UNSAFE_INDEX)
     short = replace(SAFE, aim=0.5, deadline=1.0)
     changed(driver, 2.0, replace(SETTINGS, classes=(short, KEYED, UNSAFE, ORDERED)))
     driver.turn(15.0, api.EndpointsUpdated(api.UpdateScope.DELTA, 2, (endpoint(1),)))
-    assert (len(driver.sent(1)), len(driver.sent(2))) == (1, 1)
+    assert (len(driver.send_times(1)), len(driver.send_times(2))) == (1, 1)
     assert not driver.refused
     assert not driver.failed
 
 
 def test_a_keyed_message_with_a_repeat_pending_keeps_its_window() -> None:
     driver = Driver()
-    driver.message(1, 0.0, KEYED_INDEX)
-    driver.end(1, Outcome.RESET, 1.0)  # it may have run
+    driver.submit(1, 0.0, KEYED_INDEX)
+    driver.end_attempt(1, Outcome.RESET, 1.0)  # it may have run
     changed(driver, 1.1, replace(SETTINGS, classes=(SAFE, KEYED, UNSAFE, ORDERED), senders=1))
-    driver.wait_for(1, attempts=2)
-    assert len(driver.sent(1)) == 2
+    driver.run_until_sent(1, attempts=2)
+    assert len(driver.send_times(1)) == 2
     assert driver.sends[-1][1].leave_by == pytest.approx(0.0 + KEYED.dedup_window)
 
 
 def test_an_unsafe_message_that_may_have_run_is_failed_under_other_settings_too() -> None:
     driver = Driver()
-    driver.message(1, 0.0, UNSAFE_INDEX)
+    driver.submit(1, 0.0, UNSAFE_INDEX)
     changed(driver, 0.1, replace(SETTINGS, max_attempts=50))
-    driver.end(1, Outcome.RESET, 0.5)
+    driver.end_attempt(1, Outcome.RESET, 0.5)
     assert driver.failed == {1}
-    assert len(driver.sent(1)) == 1
+    assert len(driver.send_times(1)) == 1
 
 
 def test_a_new_class_at_a_new_position_is_taken() -> None:
@@ -67,8 +67,8 @@
     more = replace(SAFE, name="more", deadline=4.0, aim=1.0)
     changed(driver, 1.0, replace(SETTINGS, classes=(*SETTINGS.classes, more)))
     driver.turn(1.0, api.MessageReceived(1, len(SETTINGS.classes), 1, 5.0))
-    assert driver.sent(1) == [1.0]
-    driver.end(1, Outcome.ERROR, 1.2)  # a failure looks at each class that there is
+    assert driver.send_times(1) == [1.0]
+    driver.end_attempt(1, Outcome.ERROR, 1.2)  # a failure looks at each class that there is
     driver.turn(1.3, api.MessageReceived(2, len(SETTINGS.classes), 1, 5.3))
     assert 2 in driver.attempts
 
@@ -76,26 +76,26 @@
 def test_ordered_messages_keep_their_order_across_a_change() -> None:
     driver = Driver()
     for number in (1, 2, 3):
-        driver.message(number, 0.0, ORDERED_INDEX, key=7)
+        driver.submit(number, 0.0, ORDERED_INDEX, key=7)
     changed(driver, 0.1, replace(SETTINGS, order_pause=0.0, max_calls=2))
     for number in (1, 2, 3):
-        assert len(driver.sent(number)) == 1
-        driver.end(number, Outcome.OK, driver.now + 0.2)
+        assert len(driver.send_times(number)) == 1
+        driver.end_attempt(number, Outcome.OK, driver.now + 0.2)
     assert [send.message for _, send in driver.sends] == [1, 2, 3]
 
 
 def test_fewer_calls_count_for_those_that_come_and_cut_none() -> None:
     driver = Driver(*(endpoint(n, destination=n) for n in range(1, 13)))
     for number in range(1, 7):
-        driver.message(number, 1.0, destination=number)
+        driver.submit(number, 1.0, destination=number)
     assert len(driver.sends) == 6
     changed(driver, 1.1, replace(SETTINGS, max_calls=3))
     for number in range(7, 10):
-        driver.message(number, 1.2, destination=number)
+        driver.submit(number, 1.2, destination=number)
     assert len(driver.sends) == 6
     assert not driver.cancelled
     for number in range(1, 5):
-        driver.end(number, Outcome.OK, 1.3)
+        driver.end_attempt(number, Outcome.OK, 1.3)
     assert len(driver.sends) == 7, "two out of the first six are left, and one more may go"
     changed(driver, 1.4, SETTINGS)
     driver.turn(1.5)
@@ -105,36 +105,36 @@
 def test_fewer_held_messages_drop_none_of_those_that_are_held() -> None:
     driver = Driver(endpoint(1, state=api.EndpointState.GONE))
     for number in range(20):
-        driver.message(number, 1.0)
+        driver.submit(number, 1.0)
     changed(driver, 1.1, replace(SETTINGS, max_held=5))
     driver.turn(1.2)
     assert not driver.refused
     assert not driver.failed
-    driver.message(20, 1.3)
+    driver.submit(20, 1.3)
     assert len(driver.refused) == 1, "one that comes now is one too many"
 
 
 def test_fewer_attempts_count_when_a_message_is_put_in_line_again() -> None:
     driver = Driver()
-    driver.message(1, 0.0)
-    driver.end(1, Outcome.ERROR, 0.1)
-    driver.wait_for(1, attempts=2)
+    driver.submit(1, 0.0)
+    driver.end_attempt(1, Outcome.ERROR, 0.1)
+    driver.run_until_sent(1, attempts=2)
     changed(driver, driver.now, replace(SETTINGS, max_attempts=2))
-    driver.end(1, Outcome.ERROR, driver.now + 0.1)
-    assert len(driver.sent(1)) == 2
+    driver.end_attempt(1, Outcome.ERROR, driver.now + 0.1)
+    assert len(driver.send_times(1)) == 2
     assert 1 in driver.refused
 
 
 def test_a_message_that_waits_for_another_attempt_as_the_cap_falls_still_has_it() -> None:
     driver = Driver()
-    driver.message(1, 0.0)
+    driver.submit(1, 0.0)
     for at in (0.1, 0.2, 0.3):  # the third opens the breaker
-        driver.end(1, Outcome.ERROR, at)
-    made = len(driver.sent(1))
+        driver.end_attempt(1, Outcome.ERROR, at)
+    made = len(driver.send_times(1))
     changed(driver, driver.now, replace(SETTINGS, max_attempts=1))
-    driver.wait_for(1, attempts=made + 1)
-    assert len(driver.sent(1)) == made + 1
-    driver.end(1, Outcome.ERROR, driver.now + 0.1)
+    driver.run_until_sent(1, attempts=made + 1)
+    assert len(driver.send_times(1)) == made + 1
+    driver.end_attempt(1, Outcome.ERROR, driver.now + 0.1)
     assert 1 in driver.refused
 
 
@@ -142,11 +142,11 @@
     driver = Driver(endpoint(1, kind=1), max_calls=1)
     shared = replace(SETTINGS.kinds[1], max_batch=2)
     settings = replace(SETTINGS, max_calls=1, kinds=(SETTINGS.kinds[0], shared))
-    driver.message(1, 0.0)
+    driver.submit(1, 0.0)
     for number in range(2, 6):
-        driver.message(number, 0.1)
+        driver.submit(number, 0.1)
     changed(driver, 0.2, settings)
-    driver.end(1, Outcome.OK, 0.3)
+    driver.end_attempt(1, Outcome.OK, 0.3)
     assert [send.message for _, send in driver.sends[1:]] == [2, 3], "a call takes two, where it took five"
 
 
@@ -155,17 +155,17 @@
     settings = replace(SETTINGS, zones=("a", "b"), cross_zone_price=0.1)
     changed(driver, 0.5, settings)
     for number in range(10):
-        driver.message(number, 1.0 + number)
-        driver.end(number, Outcome.OK, 1.1 + number)
-    assert set(driver.where.values()) == {address(2)}
+        driver.submit(number, 1.0 + number)
+        driver.end_attempt(number, Outcome.OK, 1.1 + number)
+    assert set(driver.last_endpoint.values()) == {address(2)}
 
 
 def test_notes_are_told_once_that_is_allowed() -> None:
     driver = Driver()
-    driver.message(1, 0.0)
+    driver.submit(1, 0.0)
     changed(driver, 0.1, replace(SETTINGS, may_tell_peers=True))
-    driver.end(1, Outcome.ERROR, 0.2)
-    assert driver.told
+    driver.end_attempt(1, Outcome.ERROR, 0.2)
+    assert driver.gossip_sent
 
 
 def test_a_change_and_messages_of_one_turn_go_in_their_order() -> None:
@@ -175,6 +175,6 @@
         1.0,
         api.SettingsChanged(replace(SETTINGS, classes=(*SETTINGS.classes, more))),
         api.MessageReceived(1, len(SETTINGS.classes), 1, 9.0),
-        driver.received(2, 1.0),
+        driver.message_received(2, 1.0),
     )
-    assert len(driver.sent(1)) == len(driver.sent(2)) == 1
+    assert len(driver.send_times(1)) == len(driver.send_times(2)) == 1
