--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -59,7 +59,7 @@
 
 def _longest_wait(settings: api.Settings) -> float:
     """Seconds for which a message may wait for a destination that is down, a window at the least."""
-    if settings.may_tell_peers:  # the first success is told to all, which ends the wait
+    if settings.may_gossip:  # the first success is told to all, which ends the wait
         return WINDOW
     return max(WINDOW, *(kind.deadline for kind in settings.classes))
 
@@ -140,7 +140,7 @@
 
     def _failure(self, limit: Limit, reason: Outcome | None, from_gossip: bool = False) -> bool:
         """Count a refusal or an error; the third in the window opens the breaker. Returns whether it did."""
-        now, gossips = self._now, self._set.may_tell_peers
+        now, gossips = self._now, self._set.may_gossip
         breaker = self._breakers.setdefault(limit, CircuitBreaker())
         if now < breaker.open_until:
             return False  # landing while open: neither counts nor extends
@@ -184,9 +184,9 @@
 
     def _newly_shut(self, breaker: CircuitBreaker) -> bool:
         """Whether calls were turned away, or are put off, for longer than a busy destination refuses all."""
-        seldom = not self._set.may_tell_peers and breaker.next_at >= self._now + WINDOW  # few calls
+        seldom = not self._set.may_gossip and breaker.next_at >= self._now + WINDOW  # few calls
         put_off = max(breaker.open_until, breaker.next_at) if seldom else breaker.open_until
-        since = self._now if self._set.may_tell_peers else breaker.unreachable_since
+        since = self._now if self._set.may_gossip else breaker.unreachable_since
         return breaker.cold_until < NEVER and max(self._now, put_off) > since + SHUT_AFTER
 
     def _success(self, limit: Limit, scarce: bool) -> None:
@@ -199,7 +199,7 @@
             self._broadcast(SERVED, limit)
             breaker.count, breaker.shared = breaker.count - breaker.shared, 0
         if back:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._set.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._set.warmup_seconds, 0.0
             limit.refused_at.clear()  # a shut one shows no limit, one that was down no full table
         if scarce:
             self._breakers[limit] = breaker
@@ -210,7 +210,7 @@
             breaker.slowdown_steps = max(float(waits), breaker.slowdown_steps - (RECOVER if shared else 1.0))
 
     def _broadcast(self, what: bytes, limit: Limit) -> None:
-        if self._set.may_tell_peers:
+        if self._set.may_gossip:
             self._out.append(api.TellPeer(None, what + limit.key))
 
     def _on_gossip(self, data: bytes) -> bool:
@@ -224,7 +224,7 @@
         breaker = self._breakers.get(limit) or CircuitBreaker()
         breaker.count, breaker.shared, breaker.unreachable_since = breaker.count - breaker.shared, 0, NEVER
         if breaker.cold_until == NEVER:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._set.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._set.warmup_seconds, 0.0
             self._draw_first_turn(breaker)  # what was saved up before the success would leave all at once
             return True
         return False
@@ -284,23 +284,27 @@
 
     def _budget(self, breaker: CircuitBreaker, limit: Limit) -> float:
         """This sender's part of the calls a second that a destination coming back can bear by now."""
-        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._set.cold_seconds or 1.0))
-        share = self._set.cold_start_share + (1.0 - self._set.cold_start_share) * warm
+        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._set.warmup_seconds or 1.0))
+        share = self._set.warmup_start_share + (1.0 - self._set.warmup_start_share) * warm
         part = self._rate(limit)
         if breaker.cold_until == NEVER:  # a hot destination: all flows together may be far above its limit
             even = (limit.reported_limit or limit.listed or NEVER) / self._set.senders
             # Each sender with a message in line takes a part; the lines hold what came in a message's life.
             part = min(self._flow(limit), max(1.0 / self._longest_wait, UNEVEN * even))
-        return part * share * self._set.tip_multiple * COLD_MARGIN
+        return part * share * self._set.overload_multiple * COLD_MARGIN
 
     # ---- messages ----
 
     def _received(self, event: api.MessageReceived) -> None:
         index, kind = event.message_class, self._set.classes[event.message_class]
-        aim_at = min(event.due, event.due - kind.deadline + kind.aim)
+        aim_at = min(event.due, event.due - kind.deadline + kind.latency_target)
         key = event.key if kind.ordered else None
         message = Message(event.message, index, kind, event.destination, event.due, aim_at, key)
-        message.attempts, message.maybe_ran, message.ran_in = event.attempts, event.maybe_ran, event.ran_in
+        message.attempts, message.maybe_ran, message.ran_in = (
+            event.attempts,
+            event.may_have_run_at,
+            event.may_have_run_zone,
+        )
         self._messages[event.message] = message
         self._held += 1
         destination = self._destination(event.destination)
@@ -311,12 +315,14 @@
         heappush(self._expiry, (self._latest_start(message), message.id))
         if line[0] is message:
             self._queue(message)
-        if not message.over and self._held >= self._set.max_held:
+        if not message.over and self._held >= self._set.max_pending:
             self._make_room()
 
     def _usual(self, message: Message) -> float:
         """How long a call of this class takes at this destination."""
-        return self._destination(message.destination).usual.get(message.index, message.kind.aim * FIRST_USUAL)
+        return self._destination(message.destination).usual.get(
+            message.index, message.kind.latency_target * FIRST_USUAL
+        )
 
     def _repeatable_until(self, message: Message) -> float:
         """Until when another attempt, or a refusal, cannot double the message's effect."""
@@ -333,7 +339,9 @@
 
     def _latest_start(self, message: Message) -> float:
         """The last time at which a further attempt is allowed and a usual call still fits."""
-        repeat = self._repeatable_until(message) - self._set.connect_timeout - self._set.tick  # as it leaves
+        repeat = (
+            self._repeatable_until(message) - self._set.connect_timeout - self._set.clock_resolution
+        )  # as it leaves
         return min(message.due - self._usual(message), repeat)
 
     def _queue(self, message: Message) -> None:
@@ -488,7 +496,7 @@
             if outcome is Outcome.OK:
                 # A gap beyond the aim would cost more than the refusals that it spares.
                 scarce = limit.reported_limit > 0.0 and report.get("x0", 1.0) < SCARCE
-                self._success(limit, scarce and self._rate(limit) * message.kind.aim >= 1.0)
+                self._success(limit, scarce and self._rate(limit) * message.kind.latency_target >= 1.0)
                 since = limit.refused_at.get(route, NEVER)
                 if call.sent >= since and self._crowded_until < since + CROWDED_FOR:
                     self._crowded_until = since + CROWDED_FOR
@@ -516,7 +524,7 @@
         explained = report.get("x0", 1.0) < SPENT and limit.ok_sent >= now - WINDOW  # by a limit used up
         if event.retry_after:
             self._breakers[limit] = breaker
-            self._open(breaker, limit.destination, now + event.retry_after + self._set.tick)
+            self._open(breaker, limit.destination, now + event.retry_after + self._set.clock_resolution)
         elif outcome is Outcome.FULL and not explained and self._newly_shut(breaker):
             self._open(breaker, limit.destination, now)  # an opening of no length: only the return is paced
 
@@ -680,7 +688,7 @@
         """Whether its next call comes so soon that a connection earns its place in the endpoint's table."""
         # Guards against tables full of idle connections: who holds one is not turned away and never learns.
         destination, senders = self._destination(message.destination), self._set.senders
-        if self._set.may_tell_peers or any(  # a sender that is turned away tells of it, or one may go now
+        if self._set.may_gossip or any(  # a sender that is turned away tells of it, or one may go now
             e in self._waiting and self._first_gate(e) <= self._now for e in destination.lines.values()
         ):
             return True
@@ -703,7 +711,11 @@
         return heappop(line.fresh or line.late)[-1]
 
     def _set_timer(self, wake: float) -> None:
-        for line, late in ((self._overdue, 0.0), (self._resting, 0.0), (self._expiry, self._set.tick)):
+        for line, late in (
+            (self._overdue, 0.0),
+            (self._resting, 0.0),
+            (self._expiry, self._set.clock_resolution),
+        ):
             if line:
                 wake = min(wake, line[0][0] + late)
         if wake < self._wake:
--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -13,7 +13,7 @@
 
 from irisstack.dynamic_settings.limits import MAX_DOCUMENT_BYTES, item_size
 from irisstack.interface import DestinationKind, MessageClass
-from irisstack.settings import EFFECTS, GROUPS, Reader, SettingsError, message_class, tenant
+from irisstack.settings import DEDUP_SCOPES, EFFECTS, Reader, SettingsError, message_class, tenant
 
 LANES, TENANTS, KINDS = "lanes", "tenants", "kinds"
 LISTS = (LANES, TENANTS, KINDS)
@@ -67,11 +67,11 @@
 def lane(kind: MessageClass) -> dict[str, Any]:
     """A class as the settings list writes it."""
     effects = {effect: name for name, effect in EFFECTS.items()}
-    scopes = {scope: name for name, scope in GROUPS.items()}
+    scopes = {scope: name for name, scope in DEDUP_SCOPES.items()}
     return {
         "name": kind.name,
         "repeat": effects[kind.effect],
-        "slo": kind.aim,
+        "slo": kind.latency_target,
         "hardLimit": kind.deadline,
         "importance": kind.worth,
         "lateValue": kind.late_worth,
@@ -203,10 +203,10 @@
     kinds = {}
     for name, value in members.items():
         reader = Reader(value, f"{KINDS}/{name}")
-        most = reader.whole("maxBatch", 1)
+        most = reader.integer("maxBatch", 1)
         if most < 1:
             raise SettingsError(f"{reader.path('maxBatch')}: 1 or more is due, not {most}")
-        kinds[name] = DestinationKind(name, most, reader.flag("separateRoutes"))
+        kinds[name] = DestinationKind(name, most, reader.boolean("separateRoutes"))
     return kinds
 
 
@@ -253,7 +253,7 @@
 def _with_retired_lanes(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
     if not retired:
         return document
-    present = {reader.text("name"): message_class(reader) for reader in Reader(document).parts("lanes")}
+    present = {reader.text("name"): message_class(reader) for reader in Reader(document).sections("lanes")}
     added = []
     for name, value in retired.items():
         if name in present:
@@ -265,8 +265,8 @@
 
 def _with_retired_kinds(document: dict[str, Any], retired: Mapping[str, DestinationKind]) -> dict[str, Any]:
     reader = Reader(document)
-    names, extra = reader.texts("shapes"), reader.part("extra")
-    batches, apart = extra.for_each("batchByKind", names, 1), extra.for_each("separateRoutes", names, False)
+    names, extra = reader.texts("shapes"), reader.section("extra")
+    batches, apart = extra.per_name("batchByKind", names, 1), extra.per_name("separateRoutes", names, False)
     present = dict(zip(names, map(DestinationKind, names, batches, apart), strict=True))
     for name in retired.keys() & present.keys():
         check_same_routes(present[name], retired[name])
--- a/irisstack/dynamic_settings/merge.py
+++ b/irisstack/dynamic_settings/merge.py
@@ -56,12 +56,12 @@
     "max_calls": Rule(
         Change.FOLLOWS, "extra.maxCalls", "read before each call; mailboxes and idle connections follow"
     ),
-    "max_held": Rule(Change.FOLLOWS, "allowed.mostHeld", "read as a message comes; what is held stays"),
+    "max_pending": Rule(Change.FOLLOWS, "allowed.mostHeld", "read as a message comes; what is held stays"),
     "max_attempts": Rule(Change.FOLLOWS, "allowed.attemptsCap", "read as a message is put in line"),
     "may_cancel": Rule(Change.FOLLOWS, "allowed.cancel", "read when slots run out"),
     "may_duplicate": Rule(Change.FOLLOWS, "allowed.mayDuplicate", "no state hangs on it"),
     "may_probe": Rule(Change.FOLLOWS, "allowed.mayProbe", "no state hangs on it"),
-    "may_tell_peers": Rule(
+    "may_gossip": Rule(
         Change.FOLLOWS, "allowed.mayTell", "read with each failure; without `peers` it stays false"
     ),
     "advises_retry_after": Rule(Change.FOLLOWS, "allowed.retryAfter", "read with each refusal"),
@@ -74,7 +74,9 @@
     "discovery_on_request": Rule(
         Change.RESTART, "discovery", "who holds the watch, node or decisions, is settled at the start"
     ),
-    "ask_within": Rule(Change.FOLLOWS, "invariants.askWithin", "read before the next call for the list"),
+    "list_refresh_interval": Rule(
+        Change.FOLLOWS, "invariants.askWithin", "read before the next call for the list"
+    ),
     "listed_rates": Rule(
         Change.RESTART, "weights", "a rate is taken, or left, as its line of the list comes"
     ),
@@ -86,14 +88,16 @@
     "over_share_worth": Rule(Change.FOLLOWS, "overShareWorth", "no state hangs on it"),
     "answer_slack": Rule(Change.FOLLOWS, "invariants.answerSlack", "no state hangs on it"),
     "drain_grace": Rule(Change.FOLLOWS, "invariants.drainGrace", "no state hangs on it"),
-    "cold_start_share": Rule(
+    "warmup_start_share": Rule(
         Change.FOLLOWS, "invariants.startCapacity", "read with each call while warming up"
     ),
-    "cold_seconds": Rule(Change.FOLLOWS, "invariants.cold", "read with each call while warming up"),
-    "tip_multiple": Rule(Change.FOLLOWS, "invariants.tipMultiple", "read with each call while warming up"),
-    "tip_seconds": Rule(Change.FOLLOWS, "invariants.fall", "no state hangs on it"),
+    "warmup_seconds": Rule(Change.FOLLOWS, "invariants.cold", "read with each call while warming up"),
+    "overload_multiple": Rule(
+        Change.FOLLOWS, "invariants.tipMultiple", "read with each call while warming up"
+    ),
+    "overload_window": Rule(Change.FOLLOWS, "invariants.fall", "no state hangs on it"),
     "order_pause": Rule(Change.FOLLOWS, "invariants.orderPause", "read as an attempt ends"),
-    "tick": Rule(
+    "clock_resolution": Rule(
         Change.RESTART,
         "resolution",
         "timers that are set and the last moments of repeats were reckoned by it",
--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -25,7 +25,7 @@
 
 RANGES = (
     Range("allowed.attemptsCap", "max_attempts", 1),
-    Range("allowed.mostHeld", "max_held", 1),
+    Range("allowed.mostHeld", "max_pending", 1),
     Range("allowed.maxRetryAfter", "max_retry_after", 0),
     Range("allowed.dialTimeout", "connect_timeout", 0),
     Range("allowed.keepalive", "keepalive", 0),
@@ -33,14 +33,14 @@
     Range("balancers", "senders", 1),
     Range("extra.maxCalls", "max_calls", 1),
     Range("invariants.answerSlack", "answer_slack", 0),
-    Range("invariants.cold", "cold_seconds", 0),
+    Range("invariants.cold", "warmup_seconds", 0),
     Range("invariants.drainGrace", "drain_grace", 0),
-    Range("invariants.fall", "tip_seconds", 0),
+    Range("invariants.fall", "overload_window", 0),
     Range("invariants.orderPause", "order_pause", 0),
-    Range("invariants.startCapacity", "cold_start_share", 0, above=True),
-    Range("invariants.tipMultiple", "tip_multiple", 0, above=True),
+    Range("invariants.startCapacity", "warmup_start_share", 0, above=True),
+    Range("invariants.tipMultiple", "overload_multiple", 0, above=True),
     Range("overShareWorth", "over_share_worth", 0),
-    Range("resolution", "tick", 0),
+    Range("resolution", "clock_resolution", 0),
 )
 
 
@@ -48,8 +48,8 @@
     """Raise `SettingsError` for the first value that is out of its range."""
     for bound in RANGES:
         _check(bound.path, getattr(settings, bound.field), bound.least, bound.above)
-    if settings.ask_within is not None:
-        _check("invariants.askWithin", settings.ask_within, 0, above=True)
+    if settings.list_refresh_interval is not None:
+        _check("invariants.askWithin", settings.list_refresh_interval, 0, above=True)
     if not settings.kinds:
         raise SettingsError("kinds: at least one kind is due")
     _check_names("lanes", (kind.name for kind in settings.classes))
@@ -65,8 +65,8 @@
 
 def _check_class(kind: MessageClass) -> None:
     path = f"lanes/{kind.name}"
-    _check(f"{path}.slo", kind.aim, 0, above=True)
-    _check(f"{path}.hardLimit", kind.deadline, kind.aim)
+    _check(f"{path}.slo", kind.latency_target, 0, above=True)
+    _check(f"{path}.hardLimit", kind.deadline, kind.latency_target)
     _check(f"{path}.importance", kind.worth, 0, above=True)
     _check(f"{path}.lateValue", kind.late_worth, 0)
     _check(f"{path}.window", kind.dedup_window, 0)
--- a/irisstack/interface.py
+++ b/irisstack/interface.py
@@ -69,7 +69,7 @@
 
     name: str
     effect: Effect
-    aim: float
+    latency_target: float
     deadline: float
     worth: float
     late_worth: float
@@ -111,19 +111,19 @@
     senders: int
     ordinal: int
     max_calls: int
-    max_held: int
+    max_pending: int
     max_attempts: int
     may_cancel: bool
     may_duplicate: bool
     may_probe: bool
-    may_tell_peers: bool
+    may_gossip: bool
     advises_retry_after: bool
     max_retry_after: float
     connect_timeout: float
     keepalive: float
     calls_per_connection: int
     discovery_on_request: bool
-    ask_within: float | None
+    list_refresh_interval: float | None
     listed_rates: bool
     rates_are_rough: bool
     report_fields: tuple[str, ...]
@@ -131,12 +131,12 @@
     over_share_worth: float
     answer_slack: float
     drain_grace: float
-    cold_start_share: float
-    cold_seconds: float
-    tip_multiple: float
-    tip_seconds: float
+    warmup_start_share: float
+    warmup_seconds: float
+    overload_multiple: float
+    overload_window: float
     order_pause: float
-    tick: float
+    clock_resolution: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -159,7 +159,7 @@
     scope: UpdateScope
     version: int
     endpoints: tuple[Endpoint, ...]
-    unheard: float = -math.inf
+    silent_for: float = -math.inf
     """Of one that failed: seconds since the service, which took the call, was heard; 0 if not reached.
 
     What it is where nobody can tell stands for that.
@@ -186,9 +186,9 @@
     from_dead_sender: bool = False
     is_write: bool = False
     attempts: int = 0
-    maybe_ran: float | None = None
+    may_have_run_at: float | None = None
     """When the first attempt that may have run was sent."""
-    ran_in: int | None = None
+    may_have_run_zone: int | None = None
     """The zone of the endpoint that it was sent to, where that is still known."""
 
 
@@ -277,13 +277,13 @@
 class Send:
     """Call an endpoint with a message; `give_up_at` of None means the message's deadline.
 
-    A call that cannot have left in whole by `leave_by` must not leave: its effect might come twice.
+    A call that cannot have left in whole by `write_deadline` must not leave: its effect might come twice.
     """
 
     message: int
     endpoint: Address
     give_up_at: float | None = None
-    leave_by: float = math.inf
+    write_deadline: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
--- a/irisstack/lab/baselines.py
+++ b/irisstack/lab/baselines.py
@@ -168,14 +168,14 @@
             event.due,
             event.key if kind.ordered else None,
             event.attempts,
-            event.maybe_ran,
+            event.may_have_run_at,
         )
         self._held[held.id] = held
         partner = self._partner(held.destination)
         wait = self.refuses_at_once(partner)
         if held.key is not None:
             self._keys.setdefault(held.key, deque()).append(held)
-        if len(self._held) > self.settings.max_held or wait or not self._fits(held, self.now):
+        if len(self._held) > self.settings.max_pending or wait or not self._fits(held, self.now):
             self._give_up(held, wait)
             return
         self._sequence += 1
@@ -424,8 +424,14 @@
 
     def pick(self, partner: Partner) -> Held:
         def rank(held: Held) -> tuple[bool, float]:
-            late = self.now + held.kind.aim * 0.1 > held.due - held.kind.deadline + held.kind.aim
-            return late, -held.kind.worth if late else held.due - held.kind.deadline + held.kind.aim
+            late = (
+                self.now + held.kind.latency_target * 0.1
+                > held.due - held.kind.deadline + held.kind.latency_target
+            )
+            return (
+                late,
+                -held.kind.worth if late else held.due - held.kind.deadline + held.kind.latency_target,
+            )
 
         held = min(partner.line, key=rank)
         partner.line.remove(held)
--- a/irisstack/lab/capacity/measurements/module_memory.py
+++ b/irisstack/lab/capacity/measurements/module_memory.py
@@ -42,7 +42,7 @@
 
 def _sender_holding(messages: int) -> Sender:
     """A sender that holds so many messages for destinations that no list has named."""
-    patient = replace(world.KEYED, deadline=1e6, aim=1e5)
+    patient = replace(world.KEYED, deadline=1e6, latency_target=1e5)
     sender = Sender(world.settings(keyed=patient), world.SEED)
     for start in range(0, messages, MESSAGES_A_TURN):
         numbers = range(start, min(start + MESSAGES_A_TURN, messages))
--- a/irisstack/lab/capacity/measurements/module_time.py
+++ b/irisstack/lab/capacity/measurements/module_time.py
@@ -20,7 +20,7 @@
 TICK_S = 0.005
 WAIT_TOLD_S = 1e5
 """What shut destinations tell to wait: they stay shut for the whole measurement."""
-PATIENT = replace(world.KEYED, deadline=1e6, aim=1e5, dedup_window=1e6)
+PATIENT = replace(world.KEYED, deadline=1e6, latency_target=1e5, dedup_window=1e6)
 
 
 def _deliver(sender: Sender, first_number: int, destinations: list[int], start: float) -> float:
--- a/irisstack/lab/capacity/measurements/module_world.py
+++ b/irisstack/lab/capacity/measurements/module_world.py
@@ -9,7 +9,13 @@
 SEED = 1
 DEADLINE_S = 20.0
 KEYED = api.MessageClass(
-    "keyed", api.Effect.KEYED, aim=3.0, deadline=DEADLINE_S, worth=1.0, late_worth=0.5, dedup_window=15.0
+    "keyed",
+    api.Effect.KEYED,
+    latency_target=3.0,
+    deadline=DEADLINE_S,
+    worth=1.0,
+    late_worth=0.5,
+    dedup_window=15.0,
 )
 NO_LIMIT = 100_000_000
 
@@ -26,19 +32,19 @@
         senders=targets.NODES,
         ordinal=0,
         max_calls=64,
-        max_held=max_held,
+        max_pending=max_held,
         max_attempts=6,
         may_cancel=True,
         may_duplicate=False,
         may_probe=False,
-        may_tell_peers=True,
+        may_gossip=True,
         advises_retry_after=True,
         max_retry_after=3.0,
         connect_timeout=1.0,
         keepalive=30.0,
         calls_per_connection=1,
         discovery_on_request=False,
-        ask_within=None,
+        list_refresh_interval=None,
         listed_rates=True,
         rates_are_rough=False,
         report_fields=("x0", "x1"),
@@ -46,12 +52,12 @@
         over_share_worth=0.5,
         answer_slack=0.02,
         drain_grace=0.5,
-        cold_start_share=0.2,
-        cold_seconds=5.0,
-        tip_multiple=2.5,
-        tip_seconds=3.0,
+        warmup_start_share=0.2,
+        warmup_seconds=5.0,
+        overload_multiple=2.5,
+        overload_window=3.0,
         order_pause=0.0,
-        tick=0.005,
+        clock_resolution=0.005,
     )
 
 
--- a/irisstack/lab/scale/destinations.py
+++ b/irisstack/lab/scale/destinations.py
@@ -99,17 +99,17 @@
 
     def allowed_until(self, at: float) -> float:
         """How many calls it can take in the settings' span that ends then."""
-        start = max(self.returns_at, at - self.settings.tip_seconds)
+        start = max(self.returns_at, at - self.settings.overload_window)
         step = (at - start) / STEPS
         middles = (start + step * (i + 0.5) - self.returns_at for i in range(STEPS))
         share = sum(self._share(since) for since in middles) / STEPS
         capacity = CAPACITY_PER_LISTED_RATE * self.listed_rate
-        return self.settings.tip_multiple * capacity * share * self.settings.tip_seconds
+        return self.settings.overload_multiple * capacity * share * self.settings.overload_window
 
     def _share(self, since: float) -> float:
         """Part of its capacity so many seconds after the return."""
-        start = self.settings.cold_start_share
-        return start + (1.0 - start) * min(1.0, since / self.settings.cold_seconds)
+        start = self.settings.warmup_start_share
+        return start + (1.0 - start) * min(1.0, since / self.settings.warmup_seconds)
 
     def limit_at(self, at: float) -> float:
         """The count above which it falls: what is allowed, and the spread of a random count."""
@@ -134,13 +134,13 @@
     """Judge the calls that reached a destination while it was cold."""
     returns_at = destination.outage.ends
     rule = ReturnRule(destination.listed_rate, returns_at, settings)
-    window_end = returns_at + settings.tip_seconds
+    window_end = returns_at + settings.overload_window
     first = sum(arrival.at < window_end for arrival in destination.while_cold)
     span: deque[Arrival] = deque()
     worst, falls = 0.0, False
     for arrival in destination.while_cold:
         span.append(arrival)
-        while span[0].at <= arrival.at - settings.tip_seconds:
+        while span[0].at <= arrival.at - settings.overload_window:
             span.popleft()
         part = len(span) / rule.limit_at(arrival.at)
         worst = max(worst, part)
--- a/irisstack/lab/scale/gossip_experiments.py
+++ b/irisstack/lab/scale/gossip_experiments.py
@@ -62,7 +62,7 @@
     """All destinations of the sample are down at the same time, from the first outage's begin on."""
     settings = [fleet_settings(nodes, number, gossip=gossip) for number in range(nodes)]
     rate = nodes / SECONDS_BETWEEN_MESSAGES
-    cold = settings[0].cold_seconds
+    cold = settings[0].warmup_seconds
     outage = Outage(FIRST_OUTAGE, FIRST_OUTAGE + OUTAGE_LASTS, failure)
     destinations = [
         Destination(FIRST_NUMBER + i, rate / TRAFFIC_PER_LISTED_RATE, outage, cold, Random(seed * 7919 + i))
--- a/irisstack/lab/scale/hollow_node.py
+++ b/irisstack/lab/scale/hollow_node.py
@@ -55,7 +55,7 @@
         self.counts = NodeCounts()
         self.opened: dict[int, int] = {}
         """How often the breaker of each destination has opened."""
-        self._tick = settings.tick
+        self._tick = settings.clock_resolution
         self._sender = Sender(settings, seed)
         self._clock = clock
         self._surroundings = surroundings
--- a/irisstack/lab/scale/outage_experiments.py
+++ b/irisstack/lab/scale/outage_experiments.py
@@ -71,7 +71,7 @@
     """One destination goes down and comes back under the sum of all senders."""
     settings = [fleet_settings(senders, number, gossip=case.gossip) for number in range(senders)]
     outage = Outage(OUTAGE_BEGINS, OUTAGE_BEGINS + OUTAGE_LASTS, case.failure)
-    cold = settings[0].cold_seconds
+    cold = settings[0].warmup_seconds
     listed_rate = case.messages_per_s / TRAFFIC_PER_LISTED_RATE
     destination = Destination(1, listed_rate, outage, cold, Random(seed * 7919 + senders))
     Fleet(senders, [destination], case.messages_per_s, settings.__getitem__, seed).run(outage.ends + cold)
@@ -119,7 +119,7 @@
 
 
 def _return_slopes(case: OutageCase, runs: Runs) -> Iterator[Slope]:
-    span = fleet_settings(2).tip_seconds
+    span = fleet_settings(2).overload_window
     yield Slope(
         slope_name("return-first-window", case.name),
         f"calls in the first {span:g} s of a return, as a part of the limit ({case.title})",
--- a/irisstack/lab/scale/settings.py
+++ b/irisstack/lab/scale/settings.py
@@ -9,11 +9,13 @@
 SENDER_SIZES = (2, 10, 30, 100, 300, 840)
 
 DEADLINE_S = 20.0
-SAFE = api.MessageClass("safe", api.Effect.SAFE, aim=2.0, deadline=DEADLINE_S, worth=1.0, late_worth=0.3)
+SAFE = api.MessageClass(
+    "safe", api.Effect.SAFE, latency_target=2.0, deadline=DEADLINE_S, worth=1.0, late_worth=0.3
+)
 KEYED = api.MessageClass(
     "keyed",
     api.Effect.KEYED,
-    aim=2.0,
+    latency_target=2.0,
     deadline=DEADLINE_S,
     worth=1.0,
     late_worth=0.3,
@@ -37,19 +39,19 @@
         senders=senders,
         ordinal=ordinal,
         max_calls=12,
-        max_held=200,
+        max_pending=200,
         max_attempts=6,
         may_cancel=True,
         may_duplicate=False,
         may_probe=False,
-        may_tell_peers=gossip,
+        may_gossip=gossip,
         advises_retry_after=True,
         max_retry_after=4.0,
         connect_timeout=1.0,
         keepalive=10.0,
         calls_per_connection=1,
         discovery_on_request=on_request,
-        ask_within=10.0 if on_request else None,
+        list_refresh_interval=10.0 if on_request else None,
         listed_rates=True,
         rates_are_rough=False,
         report_fields=(),
@@ -57,10 +59,10 @@
         over_share_worth=0.5,
         answer_slack=0.02,
         drain_grace=0.5,
-        cold_start_share=0.2,
-        cold_seconds=8.0,
-        tip_multiple=2.0,
-        tip_seconds=2.0,
+        warmup_start_share=0.2,
+        warmup_seconds=8.0,
+        overload_multiple=2.0,
+        overload_window=2.0,
         order_pause=0.0,
-        tick=0.005,
+        clock_resolution=0.005,
     )
--- a/irisstack/lab/virtual/node.py
+++ b/irisstack/lab/virtual/node.py
@@ -158,7 +158,7 @@
             is_retry=owed.is_retry,
             from_dead_sender=owed.from_dead,
             attempts=owed.attempts,
-            maybe_ran=owed.maybe_ran,
+            may_have_run_at=owed.maybe_ran,
         )
 
     def kill(self, now: float, policy: Policy, *, disk_lost: bool) -> api.EndpointsUpdated:
@@ -260,7 +260,9 @@
         if not self._turn_set:
             self._turn_set = True
             self._clock.at(
-                max(now, self._turned + self.settings.tick, self._asleep_until), self._turn, self.life
+                max(now, self._turned + self.settings.clock_resolution, self._asleep_until),
+                self._turn,
+                self.life,
             )
 
     # ---- the turn ----
--- a/irisstack/list_refresh.py
+++ b/irisstack/list_refresh.py
@@ -54,7 +54,7 @@
         """Go by these settings from here on."""
         self._asks = settings.discovery_on_request
         self._senders = settings.senders
-        self._longest = settings.ask_within or LONGEST_PAUSE
+        self._longest = settings.list_refresh_interval or LONGEST_PAUSE
 
     def started(self, now: float) -> None:
         """The process has just started with the list as it was last held."""
@@ -76,13 +76,15 @@
         if abs(confirmed_at - self._confirmed_at) > CONFIRMED_ANEW:
             self._confirmed_at = confirmed_at
             self._failures = self._waits = 0
-        if AT_ONCE < update.unheard < update.list_age - AT_ONCE:  # a call that was not answered, and no watch
+        if (
+            AT_ONCE < update.silent_for < update.list_age - AT_ONCE
+        ):  # a call that was not answered, and no watch
             self._waits += 1
-        if update.unheard == -math.inf:  # nobody can tell what was missed
+        if update.silent_for == -math.inf:  # nobody can tell what was missed
             pause = self._load_pause()
         else:
             # Reckoned from the last list that came: a failed call must not begin the 6 s of its news anew.
-            pause = min(self._load_pause(), self._news_pause(now, update.unheard))
+            pause = min(self._load_pause(), self._news_pause(now, update.silent_for))
         self.next_at = now + pause * self._random.uniform(0.5, 1.5)
         self._failures += 1
 
--- a/irisstack/node/config.py
+++ b/irisstack/node/config.py
@@ -107,10 +107,10 @@
         raise ConfigError("RELAY_CONFIG: the path of the configuration file is due")
     try:
         raw = Reader(parse(Path(path)))
-        limits = raw.part("limits")
+        limits = raw.section("limits")
         known = {} if raw.value("known") is None else raw.value("known")
         peers = tuple(host_port(peer, f"peers[{i}]") for i, peer in enumerate(raw.texts("peers")))
-        settings = with_peers(read(raw.part("settings")), peers)
+        settings = with_peers(read(raw.section("settings")), peers)
         Reader(known, raw.path("known"))
 
         def told(variable: str, key: str, default: str | None = None) -> str:
@@ -127,7 +127,7 @@
             ),
             state=Path(told("RELAY_STATE", "state")),
             seed=_seed(raw.text("seed", "0")),
-            sockets=limits.whole("sockets", DEFAULT_SOCKETS),
+            sockets=limits.integer("sockets", DEFAULT_SOCKETS),
             disk_bytes=int(limits.number("disk_mb", DEFAULT_DISK_MB) * 1_000_000),
             known=known,
             settings=settings,
@@ -147,7 +147,7 @@
 
 def with_peers(settings: Settings, peers: tuple[HostPort, ...]) -> Settings:
     """Without the other nodes' places notes would reach nobody, so that nothing may count on them."""
-    return settings if peers else replace(settings, may_tell_peers=False)
+    return settings if peers else replace(settings, may_gossip=False)
 
 
 def _trial(raw: Reader, settings: Settings) -> Settings | None:
@@ -169,7 +169,7 @@
         raise SettingsError(
             "watch: not together with dynamic_settings: settings on trial need ones that stay"
         )
-    part = raw.part("dynamic_settings")
+    part = raw.section("dynamic_settings")
     members = tuple(
         host_port(member, f"{part.path('members')}[{i}]") for i, member in enumerate(part.texts("members"))
     )
@@ -178,7 +178,7 @@
     prefix = part.text("prefix")
     if not prefix.endswith("/"):
         raise SettingsError(f"{part.path('prefix')}: a prefix that ends with '/' is due, not {prefix!r}")
-    bytes_per_s = part.whole("bytes_per_s", DEFAULT_SETTINGS_BYTES_PER_S)
+    bytes_per_s = part.integer("bytes_per_s", DEFAULT_SETTINGS_BYTES_PER_S)
     if bytes_per_s < LEAST_SETTINGS_BYTES_PER_S:
         raise SettingsError(
             f"{part.path('bytes_per_s')}: {LEAST_SETTINGS_BYTES_PER_S} at least are due, not {bytes_per_s}"
--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -219,8 +219,8 @@
             is_retry=entry.is_retry,
             from_dead_sender=entry.from_dead_sender,
             attempts=entry.attempts,
-            maybe_ran=ran,
-            ran_in=zones.index(entry.ran_in) if entry.ran_in in zones else None,
+            may_have_run_at=ran,
+            may_have_run_zone=zones.index(entry.ran_in) if entry.ran_in in zones else None,
         )
 
     # ---- the loop ----
@@ -229,7 +229,7 @@
         """One turn after another, the settings' resolution apart at the least."""
         while True:
             items = [] if self._next else self._wait()
-            pause = self._turned + self._settings.tick - time.monotonic()
+            pause = self._turned + self._settings.clock_resolution - time.monotonic()
             if pause > 0.0:
                 gevent.sleep(pause)
             while True:
@@ -576,7 +576,14 @@
             give_up = min(due, send.give_up_at or due)
             by_endpoint.setdefault(send.endpoint, []).append(
                 Outgoing(
-                    entry.number, entry.attempts, entry.id, entry.key, entry.body, give_up, due, send.leave_by
+                    entry.number,
+                    entry.attempts,
+                    entry.id,
+                    entry.key,
+                    entry.body,
+                    give_up,
+                    due,
+                    send.write_deadline,
                 )
             )
         for address, messages in by_endpoint.items():
--- a/irisstack/watch.py
+++ b/irisstack/watch.py
@@ -36,7 +36,7 @@
         super().__init__(settings, seed)
         self._trial = trial
         self._count = count
-        self._tells = trial.may_tell_peers and not settings.may_tell_peers
+        self._tells = trial.may_gossip and not settings.may_gossip
         self._trial_home = trial.zone if trial.cross_zone_price else None
 
     def _failure(self, limit: Limit, reason: api.Outcome | None, from_gossip: bool = False) -> bool:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -103,7 +103,7 @@
     path = tmp_path / "node.toml"
     path.write_text("\n".join(lines))
     taken = config.load({"RELAY_CONFIG": str(path)})
-    assert (taken.settings.max_held, taken.sockets, len(taken.settings.classes)) == (9, 256, 2)
+    assert (taken.settings.max_pending, taken.sockets, len(taken.settings.classes)) == (9, 256, 2)
     path.write_text("= 3")
     with pytest.raises(config.ConfigError, match="holds no TOML"):
         config.load({"RELAY_CONFIG": str(path)})
--- a/tests/dynamic_settings/test_document.py
+++ b/tests/dynamic_settings/test_document.py
@@ -31,9 +31,9 @@
 def test_a_value_is_laid_over_the_files_at_its_path_and_the_file_is_left_alone() -> None:
     before = json.dumps(SETTINGS)
     settings = settings_of({"allowed/attemptsCap": 9, "balancers": 840, "invariants": {"cold": 7.5}})
-    assert (settings.max_attempts, settings.senders, settings.cold_seconds) == (9, 840, 7.5)
-    assert settings.max_held == 60, "its neighbours stay"
-    assert settings.tip_multiple == 2.5, "an object is laid over key by key"
+    assert (settings.max_attempts, settings.senders, settings.warmup_seconds) == (9, 840, 7.5)
+    assert settings.max_pending == 60, "its neighbours stay"
+    assert settings.overload_multiple == 2.5, "an object is laid over key by key"
     assert json.dumps(SETTINGS) == before
 
 
--- a/tests/dynamic_settings/test_merge.py
+++ b/tests/dynamic_settings/test_merge.py
@@ -34,7 +34,7 @@
 
 def test_each_keeps_its_position_by_name_and_what_went_stays_at_its_own() -> None:
     new = replace(SAFE, name="new")
-    later = replace(KEYED, aim=3.0)
+    later = replace(KEYED, latency_target=3.0)
     merged = merge(IN_FORCE, replace(IN_FORCE, classes=(new, ORDERED, later)))
     assert merged.classes == (SAFE, later, UNSAFE, ORDERED, new)
 
@@ -100,7 +100,7 @@
     "zone": 1,
     "decay": api.Decay.HALVING,
     "report_fields": ("x9",),
-    "ask_within": 5.0,
+    "list_refresh_interval": 5.0,
     "zones": ("here", "there", "yonder"),
 }
 
--- a/tests/lab/scale/test_destinations.py
+++ b/tests/lab/scale/test_destinations.py
@@ -19,7 +19,7 @@
 
 
 def _destination(failure: Failure = Failure.UNREACHABLE, rate: float = 5.0) -> Destination:
-    return Destination(1, rate, Outage(20.0, 34.0, failure), SETTINGS.cold_seconds, Random(1))
+    return Destination(1, rate, Outage(20.0, 34.0, failure), SETTINGS.warmup_seconds, Random(1))
 
 
 @pytest.mark.parametrize(
@@ -55,10 +55,10 @@
 
 def test_what_the_rule_allows_grows_from_the_cold_share_to_the_full_capacity() -> None:
     rule = ReturnRule(5.0, 34.0, SETTINGS)
-    full = SETTINGS.tip_multiple * CAPACITY_PER_LISTED_RATE * 5.0 * SETTINGS.tip_seconds
-    assert rule.allowed_until(34.0) == pytest.approx(full * SETTINGS.cold_start_share)
+    full = SETTINGS.overload_multiple * CAPACITY_PER_LISTED_RATE * 5.0 * SETTINGS.overload_window
+    assert rule.allowed_until(34.0) == pytest.approx(full * SETTINGS.warmup_start_share)
     assert rule.allowed_until(36.0) == pytest.approx(full * 0.3)
-    assert rule.allowed_until(34.0 + SETTINGS.cold_seconds + 2.0) == pytest.approx(full)
+    assert rule.allowed_until(34.0 + SETTINGS.warmup_seconds + 2.0) == pytest.approx(full)
     assert rule.limit_at(36.0) == pytest.approx(full * 0.3 + 2.0 * (full * 0.3) ** 0.5 + 2.0)
 
 
--- a/tests/node/test_list_clock.py
+++ b/tests/node/test_list_clock.py
@@ -104,7 +104,7 @@
             feeding = gevent.spawn(trickle, connection, then)
             failed = until(lambda: told and told[-1].scope is api.UpdateScope.FAILED and told[-1])
             feeding.kill()
-        assert failed.unheard >= list_call.SILENCE
+        assert failed.silent_for >= list_call.SILENCE
         part.mailbox.put(api.Subscribe(True) if watch else api.FetchEndpoints())
         accept(server)[0].close()  # nothing keeps the next call from starting
 
@@ -134,7 +134,7 @@
     with follower(told.append) as (part, _):
         part.mailbox.put(api.Subscribe(True))
         until(lambda: told)
-    assert told[0].unheard == 0.0
+    assert told[0].silent_for == 0.0
 
 
 def test_nor_did_one_that_is_late_and_has_reached_nobody_yet(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -145,7 +145,7 @@
     with follower(told.append) as (part, _):
         part.mailbox.put(api.Subscribe(True))
         until(lambda: told)
-    assert told[0].unheard == 0.0
+    assert told[0].silent_for == 0.0
     assert told[0].list_age >= list_call.ANSWER_LATE
 
 
@@ -287,7 +287,9 @@
     """Due 6 s after the service had it and could be reached; here over the first failure of many senders."""
     waits = []
     for seed in range(30):
-        driver = Driver(endpoint(1), discovery_on_request=True, ask_within=10.0, senders=senders, seed=seed)
+        driver = Driver(
+            endpoint(1), discovery_on_request=True, list_refresh_interval=10.0, senders=senders, seed=seed
+        )
         driver.turn(50.0)
         before = len(driver.subscribed)
         driver.turn(60.0, api.EndpointsUpdated(api.UpdateScope.FAILED, 1, (), unheard, list_age=unheard))
@@ -299,7 +301,9 @@
 
 def test_a_service_that_is_down_is_asked_often_enough_however_long_it_lasts() -> None:
     for seed in range(10):
-        driver = Driver(endpoint(1), discovery_on_request=True, ask_within=10.0, senders=200, seed=seed)
+        driver = Driver(
+            endpoint(1), discovery_on_request=True, list_refresh_interval=10.0, senders=200, seed=seed
+        )
         driver.turn(50.0)
         at = 60.0
         for _ in range(10):
@@ -314,7 +318,9 @@
 def test_where_nobody_can_tell_what_was_missed_the_pause_is_as_ever() -> None:
     waits = []
     for seed in range(30):
-        driver = Driver(endpoint(1), discovery_on_request=True, ask_within=10.0, senders=200, seed=seed)
+        driver = Driver(
+            endpoint(1), discovery_on_request=True, list_refresh_interval=10.0, senders=200, seed=seed
+        )
         driver.turn(50.0)
         driver.turn(60.0, api.EndpointsUpdated(api.UpdateScope.FAILED, 1, ()))
         driver.turn(90.0)
--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -52,7 +52,7 @@
     driver.message(1, 1.0, KEYED_INDEX)
     driver.end(1, Outcome.RESET, 1.5)
     driver.turn(5.0)
-    assert [send.leave_by for _, send in driver.sends] == [float("inf"), 1.0 + KEYED.dedup_window]
+    assert [send.write_deadline for _, send in driver.sends] == [float("inf"), 1.0 + KEYED.dedup_window]
 
 
 @pytest.mark.parametrize("late", ["in the mailbox", "on the way up", "in the writing"])
@@ -312,9 +312,9 @@
     )
     told = decider._received(again.entries[1])
     if ended is False:
-        assert (told.maybe_ran, told.ran_in) == (None, None)
+        assert (told.may_have_run_at, told.may_have_run_zone) == (None, None)
     else:
-        assert (told.maybe_ran, told.ran_in) == (again.clock.to_monotonic(1002.0), known_as)
+        assert (told.may_have_run_at, told.may_have_run_zone) == (again.clock.to_monotonic(1002.0), known_as)
 
 
 @pytest.mark.parametrize("second", ["untried", "out", "withheld", "ended"])
--- a/tests/node/test_settings_parts.py
+++ b/tests/node/test_settings_parts.py
@@ -124,9 +124,9 @@
 
 
 def test_notes_stay_off_where_the_other_nodes_places_are_not_known() -> None:
-    assert not live().check({"allowed/mayTell": True}).settings.may_tell_peers
+    assert not live().check({"allowed/mayTell": True}).settings.may_gossip
     with_peers = LiveSettings(SETTINGS, (("127.0.0.1", 9),), 50)
-    assert with_peers.check({"allowed/mayTell": True}).settings.may_tell_peers
+    assert with_peers.check({"allowed/mayTell": True}).settings.may_gossip
 
 
 def test_more_calls_than_the_descriptors_carry_are_refused() -> None:
@@ -213,7 +213,7 @@
     assert len(reader.update(delta(*lines)).endpoints) == 1
     reader.update(delta(member(1, flavor="fresh", cell=9), member(2, flavor="fresh", phase="DELETED")))
     reader.update(delta(member(3)))
-    assert reader.follow(replace(OWN, max_held=3)) is None
+    assert reader.follow(replace(OWN, max_pending=3)) is None
     update = reader.follow(FRESH)
     assert update is not None
     assert (update.scope, update.version) == (api.UpdateScope.DELTA, 5)
@@ -367,7 +367,7 @@
     part = decider(tmp_path, taken)
     turns = turns_of(part, monkeypatch)
     update = api.EndpointsUpdated(api.UpdateScope.DELTA, 3, ())
-    first, second = new_settings(1, replace(OWN, max_held=1)), new_settings(2, replace(OWN, max_held=2))
+    first, second = new_settings(1, replace(OWN, max_pending=1)), new_settings(2, replace(OWN, max_pending=2))
     part._turn([update, first, second])
     assert turns == [[api.SettingsChanged(second.settings), update]]
     assert taken == [second]
--- a/tests/returning_fleet.py
+++ b/tests/returning_fleet.py
@@ -19,7 +19,7 @@
 
 DOWN, BACK = 20.0, 34.0
 """Seconds at which the destination goes and comes back cold."""
-END = BACK + SETTINGS.cold_seconds
+END = BACK + SETTINGS.warmup_seconds
 """When it is warm again at the latest."""
 SPARE = 1.2
 """Its capacity, as a multiple of the rate that the list tells."""
@@ -157,13 +157,15 @@
 def allowed(at: float, rate: float) -> float:
     """What the settings allow a destination in the span that ends then, whose capacity is the listed rate."""
     steps = 40
-    start = max(BACK, at - SETTINGS.tip_seconds)
+    start = max(BACK, at - SETTINGS.overload_window)
     warm = [
-        min(1.0, (start + (at - start) * (step + 0.5) / steps - BACK) / SETTINGS.cold_seconds)
+        min(1.0, (start + (at - start) * (step + 0.5) / steps - BACK) / SETTINGS.warmup_seconds)
         for step in range(steps)
     ]
-    share = sum(SETTINGS.cold_start_share + (1.0 - SETTINGS.cold_start_share) * part for part in warm) / steps
-    return SETTINGS.tip_multiple * SPARE * rate * share * SETTINGS.tip_seconds
+    share = (
+        sum(SETTINGS.warmup_start_share + (1.0 - SETTINGS.warmup_start_share) * part for part in warm) / steps
+    )
+    return SETTINGS.overload_multiple * SPARE * rate * share * SETTINGS.overload_window
 
 
 def falls_by_those_told(scenario: Scenario) -> bool:
@@ -171,7 +173,7 @@
     span: deque[Arrival] = deque()
     for arrival in ReturningFleet(scenario).play():
         span.append(arrival)
-        while span[0].at <= arrival.at - SETTINGS.tip_seconds:
+        while span[0].at <= arrival.at - SETTINGS.overload_window:
             span.popleft()
         budget = allowed(arrival.at, scenario.rate)
         falls = len(span) > budget + 2.0 * budget**0.5 + 2.0
--- a/tests/support.py
+++ b/tests/support.py
@@ -7,7 +7,7 @@
 from irisstack import interface as api
 from irisstack.choice import Sender
 
-SAFE = api.MessageClass("safe", api.Effect.SAFE, aim=2.0, deadline=20.0, worth=1.0, late_worth=0.3)
+SAFE = api.MessageClass("safe", api.Effect.SAFE, latency_target=2.0, deadline=20.0, worth=1.0, late_worth=0.3)
 KEYED = replace(SAFE, name="keyed", effect=api.Effect.KEYED, dedup_window=12.0)
 UNSAFE = replace(SAFE, name="unsafe", effect=api.Effect.UNSAFE)
 ORDERED = replace(SAFE, name="ordered", ordered=True)
@@ -24,19 +24,19 @@
     senders=2,
     ordinal=0,
     max_calls=12,
-    max_held=200,
+    max_pending=200,
     max_attempts=6,
     may_cancel=True,
     may_duplicate=False,
     may_probe=False,
-    may_tell_peers=False,
+    may_gossip=False,
     advises_retry_after=True,
     max_retry_after=4.0,
     connect_timeout=1.0,
     keepalive=10.0,
     calls_per_connection=1,
     discovery_on_request=False,
-    ask_within=None,
+    list_refresh_interval=None,
     listed_rates=True,
     rates_are_rough=False,
     report_fields=("x0", "x1"),
@@ -44,12 +44,12 @@
     over_share_worth=0.5,
     answer_slack=0.02,
     drain_grace=0.5,
-    cold_start_share=0.2,
-    cold_seconds=8.0,
-    tip_multiple=2.0,
-    tip_seconds=2.0,
+    warmup_start_share=0.2,
+    warmup_seconds=8.0,
+    overload_multiple=2.0,
+    overload_window=2.0,
     order_pause=0.0,
-    tick=0.005,
+    clock_resolution=0.005,
 )
 
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -207,19 +207,19 @@
         senders=3,
         ordinal=2,
         max_calls=11,
-        max_held=50,
+        max_pending=50,
         max_attempts=5,
         may_cancel=True,
         may_duplicate=True,
         may_probe=True,
-        may_tell_peers=True,
+        may_gossip=True,
         advises_retry_after=True,
         max_retry_after=2.5,
         connect_timeout=1.25,
         keepalive=9.0,
         calls_per_connection=4,
         discovery_on_request=True,
-        ask_within=8.0,
+        list_refresh_interval=8.0,
         listed_rates=True,
         rates_are_rough=True,
         report_fields=("x0", "x1"),
@@ -227,12 +227,12 @@
         over_share_worth=0.4,
         answer_slack=0.03,
         drain_grace=0.4,
-        cold_start_share=0.3,
-        cold_seconds=6.0,
-        tip_multiple=1.75,
-        tip_seconds=2.0,
+        warmup_start_share=0.3,
+        warmup_seconds=6.0,
+        overload_multiple=1.75,
+        overload_window=2.0,
         order_pause=0.7,
-        tick=0.002,
+        clock_resolution=0.002,
     )
 
 
@@ -311,14 +311,14 @@
         read.may_cancel,
         read.may_duplicate,
         read.may_probe,
-        read.may_tell_peers,
+        read.may_gossip,
         read.advises_retry_after,
         read.discovery_on_request,
         read.listed_rates,
     )
     assert not any(permissions)
     assert (read.tenants, read.kinds, read.report_fields) == ((), (), ())
-    assert (read.ask_within, read.order_pause, read.calls_per_connection) == (None, 0.0, 1)
+    assert (read.list_refresh_interval, read.order_pause, read.calls_per_connection) == (None, 0.0, 1)
     assert not read.classes[0].ordered
     assert read.classes[0].effect is api.Effect.SAFE
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -244,11 +244,11 @@
     before = len(driver.sends)
     driver.turn(close + 2.0)
     released = [when for when, _ in driver.sends[before:]]
-    rate = 4.0 * SETTINGS.cold_start_share * SETTINGS.tip_multiple * COLD_MARGIN / SETTINGS.senders
+    rate = 4.0 * SETTINGS.warmup_start_share * SETTINGS.overload_multiple * COLD_MARGIN / SETTINGS.senders
     assert 1 <= len(released) <= 1 + 2.0 * rate
     driver.end(driver.sends[before][1].message, OK, close + 2.1)
     driver.turn(close + 6.0)
-    warm = 4.0 * SETTINGS.tip_multiple * COLD_MARGIN / SETTINGS.senders
+    warm = 4.0 * SETTINGS.overload_multiple * COLD_MARGIN / SETTINGS.senders
     assert len(driver.sends) - before <= 1 + 6.0 * warm
 
 
@@ -261,7 +261,7 @@
 
 def test_the_budget_ends_with_the_warm_up() -> None:
     driver, at = opened()
-    warm = prove(driver, 50, at + OPEN_FOR) + SETTINGS.cold_seconds + 0.1
+    warm = prove(driver, 50, at + OPEN_FOR) + SETTINGS.warmup_seconds + 0.1
     driver.turn(warm, *(driver.received(n, warm) for n in (60, 61, 62)))
     assert driver.sent(60) == driver.sent(61) == driver.sent(62) == [warm]
 
@@ -330,7 +330,7 @@
 
 
 def test_it_subscribes_at_start_and_again_after_a_failure() -> None:
-    driver = Driver(discovery_on_request=True, ask_within=6.0)
+    driver = Driver(discovery_on_request=True, list_refresh_interval=6.0)
     driver.turn(0.2)
     assert len(driver.subscribed) == 1
     waits, at = [], 1.0
@@ -345,7 +345,7 @@
 
 
 def test_no_fleet_is_so_large_that_a_sender_does_not_ask_for_the_list_again() -> None:
-    driver = Driver(discovery_on_request=True, ask_within=None, senders=5000)
+    driver = Driver(discovery_on_request=True, list_refresh_interval=None, senders=5000)
     driver.turn(20.0)
     driver.turn(20.0, api.EndpointsUpdated(api.UpdateScope.FAILED, 1, ()))
     driver.turn(60.0)
@@ -356,7 +356,7 @@
     """It works through calls in turn, given up ones too: asked again soon, it never catches up."""
     senders, each, patience = 40, 0.2, 2.0
     drivers = [
-        Driver(discovery_on_request=True, ask_within=10.0, senders=senders, seed=seed)
+        Driver(discovery_on_request=True, list_refresh_interval=10.0, senders=senders, seed=seed)
         for seed in range(senders)
     ]
     free, asked, told = 0.0, [0] * senders, [False] * senders
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -81,7 +81,7 @@
     numbers = range(50, 56)
     driver.turn(2.0, *(driver.received(n, 2.0) for n in numbers))
     driver.turn(close + 5.5)
-    budget = 5.5 * 4.0 * SETTINGS.cold_start_share * SETTINGS.tip_multiple / SETTINGS.senders
+    budget = 5.5 * 4.0 * SETTINGS.warmup_start_share * SETTINGS.overload_multiple / SETTINGS.senders
     assert 1 <= len(driver.sends) - 1 <= 1 + budget
 
 
@@ -242,7 +242,7 @@
 
 
 def test_at_the_holding_limit_the_longest_wait_is_refused() -> None:
-    driver = Driver(endpoint(1), endpoint(2, destination=2), max_held=6, max_calls=2)
+    driver = Driver(endpoint(1), endpoint(2, destination=2), max_pending=6, max_calls=2)
     driver.message(1, 1.0)
     driver.end(1, FULL, 1.1, retry_after=5.0)
     for number in range(2, 5):
@@ -396,7 +396,7 @@
     numbers = range(50, 110)
     driver.turn(at, *(driver.received(n, at, due=at + 60.0) for n in numbers))
     shut_until = at + SHUT_AFTER + 4.0
-    end = shut_until + SETTINGS.cold_seconds + 2.0
+    end = shut_until + SETTINGS.warmup_seconds + 2.0
     answered: set[tuple[int, int]] = set()
     while driver.now < end:
         driver.turn(driver.now + 0.05)
@@ -480,7 +480,7 @@
         endpoint(1, rate=8.0),
         endpoint(2, destination=2, kind=1, rate=80.0),
         senders=40,
-        max_held=16,
+        max_pending=16,
         max_calls=4,
     )
     for number in range(1, 4):
--- a/tests/test_list_refresh.py
+++ b/tests/test_list_refresh.py
@@ -19,7 +19,7 @@
 
 
 def refresh(senders: int, seed: int = 1) -> ListRefresh:
-    settings = replace(SETTINGS, discovery_on_request=True, ask_within=10.0, senders=senders)
+    settings = replace(SETTINGS, discovery_on_request=True, list_refresh_interval=10.0, senders=senders)
     made = ListRefresh(settings, Random(seed))
     made.started(0.0)
     return made
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -14,7 +14,7 @@
 GONE = api.Outcome.CONNECT_FAILED
 ZONED = tuple(replace(kind, dedup_scope=api.DedupScope.ZONE) for kind in CLASSES)
 APART = (replace(SETTINGS.kinds[0], separate_routes=True), SETTINGS.kinds[1])
-NOTED = {"may_tell_peers": True, "senders": 200}
+NOTED = {"may_gossip": True, "senders": 200}
 
 
 def hear(driver: Driver, what: bytes, times: int, at: float) -> None:
@@ -95,7 +95,7 @@
 
 def test_refusals_at_a_sender_with_few_calls_are_no_outage_until_all_say_so() -> None:
     def sent(noted: bool) -> int:
-        driver = Driver(endpoint(1), senders=200, may_tell_peers=noted, max_attempts=9)
+        driver = Driver(endpoint(1), senders=200, may_gossip=noted, max_attempts=9)
         driver.message(1, 1.0)
         for attempt in (1, 2, 3):
             driver.end(1, FULL, driver.now + 0.1)
@@ -167,7 +167,7 @@
     trial = replace(
         SETTINGS,
         senders=200,
-        may_tell_peers=True,
+        may_gossip=True,
         zone=1,
         cross_zone_price=0.01,
         classes=tuple(replace(kind, effect=api.Effect.KEYED, dedup_window=20.0) for kind in CLASSES),
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -74,15 +74,15 @@
 
 def test_notes_count_only_where_the_other_nodes_places_are_known(tmp_path: Path) -> None:
     tells = {"settings": {**SETTINGS, "allowed": {**SETTINGS["allowed"], "mayTell": True}}}
-    assert not load(written(tmp_path, **tells)).settings.may_tell_peers
-    assert load(written(tmp_path, **tells, peers=["127.0.0.1:9"])).settings.may_tell_peers
+    assert not load(written(tmp_path, **tells)).settings.may_gossip
+    assert load(written(tmp_path, **tells, peers=["127.0.0.1:9"])).settings.may_gossip
 
 
 def test_what_stands_under_watch_is_laid_over_the_settings(tmp_path: Path) -> None:
     config = load(written(tmp_path, watch={"allowed": {"mayTell": True}, "tariffs": {"crossZone": 0.01}}))
     assert config.trial is not None
-    assert replace(config.trial, may_tell_peers=False, cross_zone_price=0.0) == config.settings
-    assert (config.trial.may_tell_peers, config.trial.cross_zone_price) == (True, 0.01)
+    assert replace(config.trial, may_gossip=False, cross_zone_price=0.0) == config.settings
+    assert (config.trial.may_gossip, config.trial.cross_zone_price) == (True, 0.01)
 
 
 def test_read_anew_the_file_tells_where_discovery_is(tmp_path: Path) -> None:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -38,10 +38,13 @@
     classes = tuple(replace(kind, dedup_window=window) for kind in CLASSES)
     driver = Driver(endpoint(1), classes=classes)
     ran = 10.0 - away
-    driver.turn(10.0, api.MessageReceived(1, KEYED_INDEX, 1, 20.0, attempts=1, maybe_ran=ran, ran_in=0))
+    driver.turn(
+        10.0,
+        api.MessageReceived(1, KEYED_INDEX, 1, 20.0, attempts=1, may_have_run_at=ran, may_have_run_zone=0),
+    )
     driver.turn(15.0)
     for at, send in driver.sends:
-        assert at <= send.leave_by == ran + window
+        assert at <= send.write_deadline == ran + window
     ends = {**driver.refused, **dict.fromkeys(driver.failed)}
     assert bool(driver.sends) != bool(ends)
     assert bool(driver.sends) == (window - away > driver.sender._set.connect_timeout)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -203,7 +203,7 @@
 def test_they_hold_with_few_slots_little_room_and_no_cancelling(
     steps: list[tuple[str, int, api.Outcome, float, float | None]],
 ) -> None:
-    Book(order_pause=0.0, max_calls=2, max_held=4, may_cancel=False, max_attempts=2).play(steps)
+    Book(order_pause=0.0, max_calls=2, max_pending=4, may_cancel=False, max_attempts=2).play(steps)
 
 
 @settings(max_examples=100, derandomize=True, deadline=None)
@@ -226,7 +226,7 @@
         kinds=kinds,
         zones=("a", "b"),
         cross_zone_price=0.01,
-        may_tell_peers=True,
+        may_gossip=True,
         order_pause=0.2,
         max_attempts=9,
     ).play(steps)
--- a/tests/test_settings_event.py
+++ b/tests/test_settings_event.py
@@ -35,7 +35,7 @@
     driver = Driver(endpoint(1, state=api.EndpointState.GONE))
     driver.message(1, 1.0, SAFE_INDEX)
     driver.message(2, 1.0, UNSAFE_INDEX)
-    short = replace(SAFE, aim=0.5, deadline=1.0)
+    short = replace(SAFE, latency_target=0.5, deadline=1.0)
     changed(driver, 2.0, replace(SETTINGS, classes=(short, KEYED, UNSAFE, ORDERED)))
     driver.turn(15.0, api.EndpointsUpdated(api.UpdateScope.DELTA, 2, (endpoint(1),)))
     assert (len(driver.sent(1)), len(driver.sent(2))) == (1, 1)
@@ -50,7 +50,7 @@
     changed(driver, 1.1, replace(SETTINGS, classes=(SAFE, KEYED, UNSAFE, ORDERED), senders=1))
     driver.wait_for(1, attempts=2)
     assert len(driver.sent(1)) == 2
-    assert driver.sends[-1][1].leave_by == pytest.approx(0.0 + KEYED.dedup_window)
+    assert driver.sends[-1][1].write_deadline == pytest.approx(0.0 + KEYED.dedup_window)
 
 
 def test_an_unsafe_message_that_may_have_run_is_failed_under_other_settings_too() -> None:
@@ -64,7 +64,7 @@
 
 def test_a_new_class_at_a_new_position_is_taken() -> None:
     driver = Driver()
-    more = replace(SAFE, name="more", deadline=4.0, aim=1.0)
+    more = replace(SAFE, name="more", deadline=4.0, latency_target=1.0)
     changed(driver, 1.0, replace(SETTINGS, classes=(*SETTINGS.classes, more)))
     driver.turn(1.0, api.MessageReceived(1, len(SETTINGS.classes), 1, 5.0))
     assert driver.sent(1) == [1.0]
@@ -106,7 +106,7 @@
     driver = Driver(endpoint(1, state=api.EndpointState.GONE))
     for number in range(20):
         driver.message(number, 1.0)
-    changed(driver, 1.1, replace(SETTINGS, max_held=5))
+    changed(driver, 1.1, replace(SETTINGS, max_pending=5))
     driver.turn(1.2)
     assert not driver.refused
     assert not driver.failed
@@ -163,7 +163,7 @@
 def test_notes_are_told_once_that_is_allowed() -> None:
     driver = Driver()
     driver.message(1, 0.0)
-    changed(driver, 0.1, replace(SETTINGS, may_tell_peers=True))
+    changed(driver, 0.1, replace(SETTINGS, may_gossip=True))
     driver.end(1, Outcome.ERROR, 0.2)
     assert driver.told
 
