--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -24,7 +24,7 @@
 from irisstack.node.mailbox import enlarge
 from irisstack.node.record_clock import StepWatch
 from irisstack.node.store import Entry, Store
-from irisstack.watch import Watching
+from irisstack.shadow import ShadowSender
 
 NO_TOKEN = -1
 """Of a timer that the node set for itself."""
@@ -126,7 +126,7 @@
         self._classless: list[tuple[float, Entry]] = []  # owed till then, under classes not known yet
         self._sender = Sender(settings, seed)
         if trial is not None:
-            self._sender = Watching(settings, trial, seed, counters.add)
+            self._sender = ShadowSender(settings, trial, seed, counters.add)
         self._tell = tell
         self._store = store
         self._clock = store.clock
--- a/irisstack/watch.py
+++ b/irisstack/shadow.py
@@ -12,7 +12,7 @@
 from irisstack.delivery_state import Limit, Line, Message
 
 
-class Kind(StrEnum):
+class Divergence(StrEnum):
     """What would have gone otherwise."""
 
     NOTE = "watch_note"
@@ -27,11 +27,11 @@
     """A message was given up that could have had another attempt."""
 
 
-class Watching(Sender):
+class ShadowSender(Sender):
     """A sender that decides by its settings and watches for where those on trial differ."""
 
     def __init__(
-        self, settings: api.Settings, trial: api.Settings, seed: int, count: Callable[[Kind], None]
+        self, settings: api.Settings, trial: api.Settings, seed: int, count: Callable[[Divergence], None]
     ) -> None:
         super().__init__(settings, seed)
         self._trial = trial
@@ -45,15 +45,15 @@
         before = breaker.count if breaker is not None and self._now < breaker.window_end else 0
         opened = super()._failure(limit, reason, from_gossip)
         if self._tells and counts and reason not in (api.Outcome.FULL, api.Outcome.RESET):
-            self._count(Kind.NOTE)
+            self._count(Divergence.NOTE)
         if self._tells and opened and before + 1 < THRESHOLD:
-            self._count(Kind.OPENED_ALONE)
+            self._count(Divergence.OPENED_ALONE)
         return opened
 
     def _worth_keeping(self, message: Message) -> bool:
         keep = super()._worth_keeping(message)
         if self._tells and not keep:
-            self._count(Kind.CONNECTION_CLOSED)
+            self._count(Divergence.CONNECTION_CLOSED)
         return keep
 
     def _send(self, line: Line) -> None:
@@ -70,13 +70,13 @@
             if route.zone == self._trial_home and route.failed.get(index, 0.0) <= self._now
         ]
         if home and sent.endpoint not in home:
-            self._count(Kind.OTHER_ZONE)
+            self._count(Divergence.OTHER_ZONE)
 
     def _give_up(self, message: Message) -> None:
         kind = message.kind
         if message.maybe_ran is not None and self._latest_start(message) < self._now:
             message.kind = self._trial.classes[message.index]
             if message.attempts < self._trial.max_attempts and self._latest_start(message) >= self._now:
-                self._count(Kind.GIVEN_UP)
+                self._count(Divergence.GIVEN_UP)
             message.kind = kind
         super()._give_up(message)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -7,7 +7,7 @@
 
 from irisstack import interface as api
 from irisstack.choice import CROWDED_FOR, FIRST_GAP, OPEN_FOR, SHARED, SHUT_AFTER, WINDOW
-from irisstack.watch import Kind, Watching
+from irisstack.shadow import Divergence, ShadowSender
 from tests.support import CLASSES, KEYED_INDEX, SETTINGS, UNSAFE_INDEX, Driver, address, endpoint
 
 OK, FULL, ERROR, RESET = api.Outcome.OK, api.Outcome.FULL, api.Outcome.ERROR, api.Outcome.RESET
@@ -147,12 +147,12 @@
 
 
 def test_watching_decides_as_before_and_counts_what_would_have_gone_otherwise() -> None:
-    def play(trial: api.Settings | None) -> tuple[Driver, Counter[Kind]]:
-        counts: Counter[Kind] = Counter()
+    def play(trial: api.Settings | None) -> tuple[Driver, Counter[Divergence]]:
+        counts: Counter[Divergence] = Counter()
         places = endpoint(1), endpoint(2, zone=1), endpoint(3, destination=2)
         driver = Driver(*places, senders=200)
         if trial is not None:
-            driver.sender = Watching(driver.sender._set, trial, 1, lambda kind: counts.update([kind]))
+            driver.sender = ShadowSender(driver.sender._set, trial, 1, lambda kind: counts.update([kind]))
         driver.turn(0.5, api.EndpointsUpdated(api.UpdateScope.CACHED, 1, places))
         driver.serve(1, 12, 1.0)
         driver.message(15, driver.now, UNSAFE_INDEX, destination=2)
@@ -176,7 +176,7 @@
     watched, counts = play(trial)
     assert (watched.sends, watched.refused, watched.failed) == (plain.sends, plain.refused, plain.failed)
     assert watched.told == []
-    assert set(counts) == set(Kind)
+    assert set(counts) == set(Divergence)
     same, none = play(replace(SETTINGS, senders=200))
     assert same.sends == plain.sends
     assert not none
