--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -14,14 +14,14 @@
     OPEN_DURATION,
     OUTAGE_AFTER,
 )
-from irisstack.watch import Kind, Watching
+from irisstack.shadow import Divergence, ShadowSender
 from tests.support import CLASSES, KEYED_INDEX, SETTINGS, UNSAFE_INDEX, Driver, address, endpoint
 
 OK, FULL, ERROR, RESET = api.Outcome.OK, api.Outcome.FULL, api.Outcome.ERROR, api.Outcome.RESET
 GONE = api.Outcome.CONNECT_FAILED
 ZONED = tuple(replace(kind, dedup_scope=api.DedupScope.ZONE) for kind in CLASSES)
 APART = (replace(SETTINGS.kinds[0], separate_routes=True), SETTINGS.kinds[1])
-NOTED = {"may_tell_peers": True, "senders": 200}
+NOTED = {"may_gossip": True, "senders": 200}
 
 
 def hear(driver: Driver, what: bytes, times: int, at: float) -> None:
@@ -104,7 +104,7 @@
 
 def test_refusals_at_a_sender_with_few_calls_are_no_outage_until_all_say_so() -> None:
     def sent(noted: bool) -> int:
-        driver = Driver(endpoint(1), senders=200, may_tell_peers=noted, max_attempts=9)
+        driver = Driver(endpoint(1), senders=200, may_gossip=noted, max_attempts=9)
         driver.submit(1, 1.0)
         for attempt in (1, 2, 3):
             driver.end_attempt(1, FULL, driver.now + 0.1)
@@ -160,12 +160,14 @@
 
 
 def test_watching_decides_as_before_and_counts_what_would_have_gone_otherwise() -> None:
-    def play(trial: api.Settings | None) -> tuple[Driver, Counter[Kind]]:
-        counts: Counter[Kind] = Counter()
+    def play(trial: api.Settings | None) -> tuple[Driver, Counter[Divergence]]:
+        counts: Counter[Divergence] = Counter()
         places = endpoint(1), endpoint(2, zone=1), endpoint(3, destination=2)
         driver = Driver(*places, senders=200)
         if trial is not None:
-            driver.sender = Watching(driver.sender._settings, trial, 1, lambda kind: counts.update([kind]))
+            driver.sender = ShadowSender(
+                driver.sender._settings, trial, 1, lambda kind: counts.update([kind])
+            )
         driver.turn(0.5, api.EndpointsUpdated(api.UpdateScope.CACHED, 1, places))
         driver.deliver(1, 12, 1.0)
         driver.submit(15, driver.now, UNSAFE_INDEX, destination=2)
@@ -180,7 +182,7 @@
     trial = replace(
         SETTINGS,
         senders=200,
-        may_tell_peers=True,
+        may_gossip=True,
         zone=1,
         cross_zone_price=0.01,
         classes=tuple(replace(kind, effect=api.Effect.KEYED, dedup_window=20.0) for kind in CLASSES),
@@ -189,7 +191,7 @@
     watched, counts = play(trial)
     assert (watched.sends, watched.refused, watched.failed) == (plain.sends, plain.refused, plain.failed)
     assert watched.gossip_sent == []
-    assert set(counts) == set(Kind)
+    assert set(counts) == set(Divergence)
     same, none = play(replace(SETTINGS, senders=200))
     assert same.sends == plain.sends
     assert not none
