--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -17,7 +17,7 @@
 from gevent.queue import Empty, Queue
 
 from irisstack import interface as api
-from irisstack.choice import NOT_RUN, Sender
+from irisstack.choice import NOT_RUN_OUTCOMES, Sender
 from irisstack.node.config import name_of, peer_of
 from irisstack.node.counters import Counters
 from irisstack.node.endpoint import (
@@ -32,7 +32,7 @@
 from irisstack.node.mailbox import enlarge
 from irisstack.node.record_clock import StepWatch
 from irisstack.node.store import Entry, Store
-from irisstack.watch import Watching
+from irisstack.shadow import ShadowSender
 
 NO_TOKEN = -1
 """Of a timer that the node set for itself."""
@@ -134,7 +134,7 @@
         self._classless: list[tuple[float, Entry]] = []  # owed till then, under classes not known yet
         self._sender = Sender(settings, seed)
         if trial is not None:
-            self._sender = Watching(settings, trial, seed, counters.add)
+            self._sender = ShadowSender(settings, trial, seed, counters.add)
         self._tell = tell
         self._store = store
         self._clock = store.clock
@@ -227,8 +227,8 @@
             is_retry=entry.is_retry,
             from_dead_sender=entry.from_dead_sender,
             attempts=entry.attempts,
-            maybe_ran=ran,
-            ran_in=zones.index(entry.ran_in) if entry.ran_in in zones else None,
+            may_have_run_at=ran,
+            may_have_run_zone=zones.index(entry.ran_in) if entry.ran_in in zones else None,
         )
 
     # ---- the loop ----
@@ -237,7 +237,7 @@
         """One turn after another, the settings' resolution apart at the least."""
         while True:
             items = [] if self._next else self._wait()
-            pause = self._turned + self._settings.tick - time.monotonic()
+            pause = self._turned + self._settings.clock_resolution - time.monotonic()
             if pause > 0.0:
                 gevent.sleep(pause)
             while True:
@@ -386,7 +386,7 @@
                 report=result.report,
             )
         if owed:
-            ran = result.outcome not in NOT_RUN
+            ran = result.outcome not in NOT_RUN_OUTCOMES
             turn.records.append(self._store.end(ended.number, ended.attempt, ran))
             if result.over:
                 name = "delivered" if result.outcome is api.Outcome.OK else "withdrawn"
@@ -584,7 +584,14 @@
             give_up = min(due, send.give_up_at or due)
             by_endpoint.setdefault(send.endpoint, []).append(
                 OutgoingMessage(
-                    entry.number, entry.attempts, entry.id, entry.key, entry.body, give_up, due, send.leave_by
+                    entry.number,
+                    entry.attempts,
+                    entry.id,
+                    entry.key,
+                    entry.body,
+                    give_up,
+                    due,
+                    send.write_deadline,
                 )
             )
         for address, messages in by_endpoint.items():
