--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -222,14 +222,14 @@
         assert b"m1" in first.recv(65536)
         first.sendall(http_response(200))
         until(lambda: part._idle)
-        choose = part._connection
+        choose = part._take_connection
 
         def chosen() -> Any:
             connection = choose()
             crossing(first)
             return connection
 
-        part._connection = chosen  # type: ignore[method-assign]
+        part._take_connection = chosen  # type: ignore[method-assign]
         part.mailbox.put(Call([OutgoingMessage(2, 0, "m2", "", b"", FOREVER, FOREVER)], 1001.0))
         with gevent.Timeout(20.0, AssertionError("no new connection")):
             second, _ = server.accept()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -468,7 +468,7 @@
                         came.append(connection.recv(65536))
             ended.append(end)
 
-        endpoint._post = told
+        endpoint._post_result = told
         endpoint.worker.start()
         now = time.monotonic()
         times = {
