--- a/irisstack/node/endpoint.py
+++ b/irisstack/node/endpoint.py
@@ -1,4 +1,4 @@
-"""The actor of one endpoint: its connection pool and the calls on these connections."""
+"""The actor of one endpoint: owns its connection pool and runs its calls."""
 
 import math
 import time
@@ -32,25 +32,31 @@
 from irisstack.node.store import Store
 
 DEFAULT_IDLE_TIMEOUT = 3600.0
-"""Seconds an idle connection is kept where the settings name no limit."""
+"""Seconds for which an idle connection is kept if the settings set no limit."""
 IDLE_MARGIN = 0.05
-"""Last part of the endpoint's idle limit, in which a kept connection is closed instead of used."""
+"""Share of the idle timeout at its end in which a connection is closed instead of reused.
+
+The endpoint may be closing the connection by then.
+"""
 
 RESPONSE_TIMEOUT = 2.0
-"""Seconds from the first byte of an answer to its last."""
+"""Seconds from the first byte of a response to its last."""
 
 RECORD_RETRY_PAUSE = 0.05
-"""Seconds until a call that could not be put on record tries that again."""
+"""Seconds between attempts to write a call to the write-ahead log."""
 
 MAX_RECORD_DELAY, CATCH_UP_PAUSE = 0.1, 0.01
-"""Seconds that it may take to put a call on record before it is looked at once more, and until then."""
+"""Seconds. A call whose record took longer is checked once more, after a pause of `CATCH_UP_PAUSE`.
+
+This process may have been suspended meanwhile; in the pause the actor handles the commands that are queued.
+"""
 
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, frozen=True)
 class OutgoingMessage:
-    """One message of a call; times are seconds of the monotonic clock."""
+    """One message of a call; times are in seconds on the monotonic clock."""
 
     number: int
     attempt: int
@@ -59,25 +65,25 @@
     body: bytes
     attempt_deadline: float
     deadline: float
-    write_deadline: float = math.inf  # after this it must not leave any more
+    write_deadline: float = math.inf  # when the last byte must have been sent
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request to the endpoint; its messages are sent together and end together."""
+    """One request to the endpoint; its messages are sent together and their attempts end together."""
 
     messages: Sequence[OutgoingMessage]
-    sent_at: float  # on the clock of the records
-    zone: str = ""  # that it goes to, likewise
+    sent_at: float  # for the record: seconds on the record clock
+    zone: str = ""  # for the record: the endpoint's zone
     worker: "gevent.Greenlet[..., None] | None" = None
     started: bool = False
-    ended: bool = False  # ended or called off
+    ended: bool = False  # completed or cancelled
 
     @property
     def deadline(self) -> float:
-        """The call's deadline: when no message waits for it any more, or the first one's time is over.
+        """The last attempt deadline of the messages, or their first message deadline if that is earlier.
 
-        A call ends for all of its messages or for none, since an attempt that has ended may have no call out.
+        A call ends for all of its messages at once: an attempt that has ended must not have a call in flight.
         """
         return min(
             max(message.attempt_deadline for message in self.messages),
@@ -86,13 +92,13 @@
 
     @property
     def write_deadline(self) -> float:
-        """The time by which the last byte must have been sent; a call that is later is withheld."""
+        """When the last byte must have been sent; a call that would be sent later is withheld."""
         return min(message.write_deadline for message in self.messages)
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel the call that carries this attempt."""
+    """Cancel the call that contains this attempt."""
 
     number: int
     attempt: int
@@ -100,24 +106,24 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close the connections that carry no call."""
+    """Close the idle connections."""
 
 
 @dataclass(slots=True, frozen=True)
 class WithholdCalls:
-    """The destination asked to wait: calls not sent yet are withheld until this time."""
+    """Withhold calls that are not sent yet until this time: the destination sent a retry-after."""
 
     until: float
 
 
 @dataclass(slots=True, frozen=True)
 class Retire:
-    """The endpoint left the list: no call is sent any more, and the actor ends with its last call."""
+    """The endpoint left the list: send no further calls, and stop once the last call has ended."""
 
 
 @dataclass(slots=True, frozen=True)
 class Reconfigure:
-    """Other settings are in force: what is begun from now on goes by these."""
+    """The settings have changed; the new values apply to calls that start from now on."""
 
     connect_timeout: float
     idle_timeout: float
@@ -131,7 +137,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _CallEnded:
-    """A call has ended; its connection returns to the pool if it can be used again."""
+    """A call has ended. `connection` returns to the pool; it is `None` if it cannot be reused."""
 
     call: Call
     connection: "Connection | None"
@@ -148,7 +154,7 @@
 
 
 class WithheldReason(Enum):
-    """Why a call that was decided is not sent."""
+    """Why a call is not sent; the values are logged."""
 
     RETIRED = "endpoint_left_the_list"
     RETRY_AFTER = "destination_asked_to_wait"
@@ -157,15 +163,15 @@
 
 
 class _Cancelled(Exception):
-    """The call was cancelled; raised inside its greenlet."""
+    """The call was cancelled; raised in its greenlet."""
 
 
 class _CallWithheld(Exception):
-    """The call may not be sent, or not yet."""
+    """The call must not be sent."""
 
 
 class Connection:
-    """One connection; it carries one call at a time. Errors become results: no exception leaves `execute`."""
+    """A connection that runs one call at a time. `execute` turns errors into results and raises none."""
 
     def __init__(self, host_port: HostPort, connect_timeout: float, report_fields: Sequence[str]) -> None:
         self._host_port = host_port
@@ -176,12 +182,12 @@
         self.idle_since = 0.0
 
     def configure(self, connect_timeout: float, report_fields: Sequence[str]) -> None:
-        """Go by these from the next call on."""
+        """Use these values from the next call on."""
         self._connect_timeout = connect_timeout
         self._report_fields = report_fields
 
     def is_usable(self) -> bool:
-        """Whether the connection is open and nothing, not even its end, waits to be read."""
+        """Whether the connection is open, with neither data nor an end of stream to read."""
         return self._socket is not None and sockets.nothing_to_read(self._socket)
 
     def close(self) -> None:
@@ -195,7 +201,11 @@
         before_send: Callable[[Call], bool],
         on_result: Callable[[OutgoingMessage, Result], None],
     ) -> bool:
-        """Carry one call and report each message's result; returns whether the connection can be kept."""
+        """Run one call and pass each message's result to `on_result`.
+
+        `before_send` is called once the connection is open; the call is withheld if it returns false.
+        Returns whether the connection can be reused.
+        """
         ids = [message.id for message in call.messages]
         reached, ending, error_name = Reached.NOTHING, Ending.BROKEN, ""
         keep = False
@@ -204,11 +214,11 @@
             if call.ended:
                 raise _Cancelled
             call.started = True
-            if not self.is_usable():  # something may have come since the pool was checked
+            if not self.is_usable():  # data or an end of stream may have arrived since the pool's check
                 self.close()
             self._open(call.deadline)
             reached = Reached.CONNECTED
-            if time.monotonic() >= call.deadline:  # after a standstill of this node: nobody waits for it
+            if time.monotonic() >= call.deadline:  # this process was suspended while it connected
                 raise TimeoutError
             if not before_send(call):
                 raise _CallWithheld
@@ -228,7 +238,7 @@
             ending, error_name = Ending.GIVEN_UP, name_of_error(error)
         except (OSError, http.BadMessage) as error:
             ending, error_name = Ending.BROKEN, name_of_error(error)
-        except Exception as error:  # whatever it is, the messages' ends must be told
+        except Exception as error:  # an unexpected error must not leave a message without a result
             log.error("call_failed", peer=name_of(self._host_port), error=repr(error))
         call.ended = True
         if (
@@ -284,7 +294,7 @@
         self._socket.sendall(http.request("POST", path, name_of(self._host_port), headers, body))
 
     def _received_response(self) -> http.Message | None:
-        """The answer of a cancelled call, if all of it has been received."""
+        """The response to a cancelled call, if it has been received completely."""
         assert self._socket is not None
         try:
             if not sockets.nothing_to_read(self._socket):
@@ -294,14 +304,14 @@
             return None
 
     def _read_response(self, deadline: float) -> http.Message | None:
-        """The answer; `None` if it is not whole by the deadline. Raises `OSError` or `http.BadMessage`."""
+        """The response; `None` if it is incomplete at the deadline. Raises `OSError` or `http.BadMessage`."""
         assert self._socket is not None
         started = False
         while (response := self._reader.advance(self._buffer)) is None:
             if not started and (started := self._reader.started or len(self._buffer) > 0):
                 deadline = min(deadline, time.monotonic() + RESPONSE_TIMEOUT)
             if started:
-                gevent.sleep(0)  # an answer that keeps coming must not keep the others from their turn
+                gevent.sleep(0)  # let other greenlets run while a long response keeps arriving
             try:
                 received = sockets.receive_before(self._socket, self._buffer, deadline)
             except TimeoutError:
@@ -315,14 +325,14 @@
 
 
 def _close_reason(response: http.Message | None, ending: Ending) -> str:
-    """Why a connection is not kept after a call: how the call ended, or what its answer said."""
+    """Why a connection is closed after a call, for the log."""
     if response is None:
         return ending.name.lower()
     return "more_than_an_answer" if response.keep_alive else "endpoint_closes"
 
 
 class Endpoint:
-    """Takes commands for one endpoint and runs its calls, each in a greenlet of its own."""
+    """Handles the commands for one endpoint and runs its calls, each in its own greenlet."""
 
     def __init__(
         self,
@@ -360,11 +370,14 @@
             new.idle_timeout * (1.0 - IDLE_MARGIN) if new.idle_timeout else DEFAULT_IDLE_TIMEOUT
         )
         self._max_idle_connections = new.max_idle_connections
-        # A call, its cancelling and its end for each slot, and what the list tells beside them.
+        # Each slot can queue a call, its cancellation and its end; list updates and settings add commands.
         enlarge(self.mailbox, 4 * new.max_calls + 16)
 
     def run(self) -> None:
-        """Handle commands until the endpoint is retired and its last call has ended."""
+        """Handle commands until the endpoint is retired and its last call has ended.
+
+        Connections that exceed the idle timeout are closed between commands.
+        """
         while not (self._retired and not self._calls and self.mailbox.empty()):
             timeout = None
             if self._idle:
@@ -425,9 +438,9 @@
         self.mailbox.put(_CallEnded(call, connection if keep else None))
 
     def _before_send(self, call: Call) -> bool:
-        """Put the call on record before it is sent: from here on it may have run.
+        """Record the call in the write-ahead log before it is sent; from then on it counts as possibly run.
 
-        Returns false for a call that must not be sent. One that cannot be put on record waits for that.
+        Returns false if the call must not be sent. While the log cannot be written, the call waits.
         """
         on_record = False
         while True:
@@ -437,12 +450,12 @@
                 log.debug("call_withheld", ids=[m.id for m in call.messages], reason=reason.value)
                 return False
             if not on_record and not self._record_call(call):
-                gevent.sleep(RECORD_RETRY_PAUSE)  # with no record it might be sent again by a restart
+                gevent.sleep(RECORD_RETRY_PAUSE)  # without a record a restart might repeat the call
                 continue
             on_record = True
             if time.monotonic() < checked_at + MAX_RECORD_DELAY:
                 break
-            gevent.sleep(CATCH_UP_PAUSE)  # the node stood still: what it was told meanwhile is read first
+            gevent.sleep(CATCH_UP_PAUSE)  # the process may have been suspended: handle queued commands first
         self._counters.add("calls_sent")
         self._counters.add("messages_sent", len(call.messages))
         return True
@@ -452,7 +465,7 @@
         return self._store.out(attempts, call.sent_at, call.zone)
 
     def _withhold_reason(self, call: Call) -> "WithheldReason | None":
-        """Why a call must not be sent now, if there is a reason."""
+        """Why a call must not be sent now, or `None` if it may be."""
         now = time.monotonic()
         if self._retired:
             return WithheldReason.RETIRED
