--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -166,10 +166,10 @@
 ) -> None:
     """The system would reset it, and a request with it; one that does not come up is tried elsewhere."""
     let_in: list[socket.socket] = []
-    accept_rest = _Listener.accept_rest
+    accept_backlog = _Listener.accept_backlog
 
     def then_a_client_comes(listener: _Listener) -> None:
-        accept_rest(listener)
+        accept_backlog(listener)
         with suppress(OSError):
             let_in.append(socket.create_connection(part.address, timeout=0.2))
 
