--- a/irisstack/node/intake.py
+++ b/irisstack/node/intake.py
@@ -1,4 +1,4 @@
-"""Clients: their connections, the messages they hand in, and what they may ask of the node itself."""
+"""The HTTP server for clients: connections, submitted messages, and the node's health and counters."""
 
 import errno
 import json
@@ -27,28 +27,29 @@
 
 BACKLOG = 512
 ACCEPTS_PER_TURN = 16
-"""Connections accepted in one step, so that a flood of them leaves the others their turn."""
+"""Connections accepted before other greenlets run."""
 MAX_ACCEPT_PAUSE = 0.04
-"""Seconds from an accept that failed to the next at most: a client waits for its answer for a short time."""
+"""Longest pause in seconds after a failed accept; kept short because clients wait for their answers."""
 ABORTED_ACCEPT_ERRORS = frozenset((errno.ECONNABORTED, errno.EPROTO, errno.EINTR))
-"""Of an accept: the client has gone, or nothing is wrong; the next may wait already."""
+"""Errors of an accept that concern only one connection, or none; the next accept may succeed at once."""
 MAX_ABORTED_ACCEPTS = 64
-"""So many of these in a row leave the others their turn."""
+"""Such errors in a row before other greenlets run."""
 BACKLOG_TIMEOUT = 0.5
-"""Seconds in which the backlog has to be accepted at the end."""
+"""Seconds at shutdown for accepting the connections in the backlog."""
 HANDSHAKE_TIMEOUT = 0.05
-"""Seconds in which a connection that has been begun by then comes up."""
+"""Seconds allowed at shutdown for TCP handshakes already under way to complete."""
 WHOLE_BY = 2.5
-"""Seconds in which a request must be whole: the first from connecting, a later one from its first byte."""
+"""Seconds in which a request must be complete: the first from connecting, a later one from its first byte."""
 ANSWER_WRITE_TIMEOUT = 1.0
-"""Seconds in which the rest of an answer that was begun has to be taken."""
+"""Seconds in which the client must read the rest of an answer that the socket took only in part."""
 MALFORMED_PAUSE = 0.1
-"""Seconds until a connection that brought what cannot be taken is read from again."""
+"""Seconds after a malformed request in which its connection is not read from."""
 LINGER_TIMEOUT = 3.0
-"""Seconds in which a connection that is being closed may still bring what was under way."""
+"""Seconds for which a closing connection is still read."""
 LINGER_BYTES = 64 * 1024 * 1024
-"""How much of that is read and thrown away, so that no reset eats the answer."""
+"""Bytes that are read and discarded then; a close over unread data sends a reset and may lose the answer."""
 MAX_HEADER_VALUE = 256
+"""Characters of an id or key in a header."""
 SECONDS_PATTERN = re.compile(r"[0-9]{1,6}(\.[0-9]{0,9})?")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,9}")
 
@@ -57,42 +58,43 @@
 
 
 class _MalformedRequest(Exception):
-    """A request that can be parsed but says what it may not."""
+    """A request that is valid HTTP but has a missing or invalid header."""
 
 
 class Stage(Enum):
-    """What the doorway is at. It goes through them once, in this order."""
+    """The intake's stages; it goes through each once, in this order."""
 
-    ACCEPTING = auto()  # messages are taken on
-    DRAINING = auto()  # clients still come, and each hears in one answer that nothing is taken on any more
-    CLOSED = auto()  # nobody comes any more; those still here get their answer
+    ACCEPTING = auto()  # messages are accepted
+    DRAINING = auto()  # connections are still accepted; new messages are rejected with a last answer
+    CLOSED = auto()  # no new connections; those that are open still get their answer
 
 
 class _Phase(Enum):
-    """What a connection is at; the value tells for how long before it may be closed to make room.
+    """A connection's phase; the value is how many seconds it must last before the connection may be evicted.
 
-    In the order in which they go. A client whose request is with the decider is never cut off.
+    Connections are evicted to make room for new ones, in the order of the phases here. One whose request is
+    with the decider is never evicted. The names are logged.
     """
 
-    LEAVING = 0.0  # answered, and read from for the last time
+    LEAVING = 0.0  # last answer sent; remaining input is read and discarded
     IDLE = 2.0  # between two requests
-    FRESH = 0.2  # connected and silent
-    READING = 1.0  # a part of a request has come
-    WAITING = math.inf  # a whole request has come
+    FRESH = 0.2  # connected, nothing received yet
+    READING = 1.0  # part of a request received
+    WAITING = math.inf  # complete request received, not answered yet
 
 
 class _CloseReason(Enum):
-    """Why a client's connection ends."""
+    """Why a client's connection ends; the values are logged."""
 
     CLIENT_ENDED = "client_ended_or_stayed_silent"
     CLIENT_GONE = "client_gone"
     LAST_ANSWER = "last_answer"
-    STOPPED = "ended_at_rest"  # to make room, or since the node stops
+    STOPPED = "ended_at_rest"  # evicted to make room, or because the node stops
     UNREADABLE = "unreadable_request"
 
 
 class _Connection:
-    """One client's connection: a request at a time, each answered before the next is read."""
+    """A client's connection; each request is answered before the next is read."""
 
     def __init__(self, intake: "Intake", sock: socket.socket) -> None:
         self._intake = intake
@@ -103,14 +105,14 @@
         self._close_after_answer = False
         self.phase = _Phase.FRESH
         self.stopped = False
-        self._stop_wakeup = False  # by that, with an error that means no more
+        self._stop_wakeup = False  # `stop` has shut down reading; the next read error may stem from that
         self.phase_since = time.monotonic()
         self._reason = _CloseReason.CLIENT_ENDED
-        self._unsent = b""  # of an answer that was begun
+        self._unsent = b""  # rest of an answer that the socket took only in part
 
     @property
     def _is_last_answer(self) -> bool:
-        """Whether the answer in hand, or the one before, is the last on this connection."""
+        """Whether the current answer, or the one before it, is the last on this connection."""
         return self._close_after_answer or self._intake.stage is not Stage.ACCEPTING
 
     def _enter_phase(self, phase: _Phase) -> None:
@@ -123,20 +125,20 @@
                 self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._serve()
             self._close_gracefully()
-        except OSError as error:  # the client is gone; a message it waited for was withdrawn already
+        except OSError as error:  # the client disconnected; its message, if any, was withdrawn already
             self._reason = _CloseReason.CLIENT_GONE
-            log.debug("client_gone", error=str(error))
+            log.debug("client_disconnected", error=str(error))
         finally:
             self._socket.close()
             log.debug("client_closed", reason=self._reason.value, phase=self.phase.name)
 
     def _serve(self) -> None:
-        """Answer one request after another until the connection is to be closed."""
+        """Answer requests until the connection is to be closed."""
         try:
             while (request := self._read_request()) is not None:
                 self._enter_phase(_Phase.WAITING)
                 self._close_after_answer = not request.keep_alive or self.stopped
-                if self.stopped:  # it crossed the end of a connection at rest: its client sends it once more
+                if self.stopped:  # the request arrived while `stop` closed the connection: the client retries
                     self._write(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=self._intake.retry_after)
                 else:
                     self._handle(request)
@@ -144,7 +146,7 @@
                 if self._is_last_answer:
                     self._reason = _CloseReason.STOPPED if self.stopped else _CloseReason.LAST_ANSWER
                     return
-                gevent.sleep(0)  # requests that lie ready must not keep the others from their turn
+                gevent.sleep(0)  # let other greenlets run between pipelined requests
         except http.BadMessage as error:
             self._intake.counters.add("unreadable")
             self._reason = _CloseReason.UNREADABLE
@@ -152,13 +154,13 @@
             self._write(error.status, f"{error}\n".encode())
         except OSError:
             raise
-        except Exception as error:  # whatever it is, a request that was read is answered
+        except Exception as error:  # an unexpected error must not leave a request without an answer
             log.error("request_failed", error=repr(error))
             self._close_after_answer = True
             self._write(HTTPStatus.INTERNAL_SERVER_ERROR)
 
     def _read_request(self) -> http.Message | None:
-        """The next request, or nothing if the connection ends, or stays silent, before it begins."""
+        """The next request; `None` if the connection ends or times out before the request begins."""
         first = self.phase is _Phase.FRESH
         deadline = self.phase_since + WHOLE_BY if first else None
         while (request := self._reader.advance(self._buffer)) is None:
@@ -176,24 +178,26 @@
             except TimeoutError:
                 if not started:
                     return None
-                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "the request took too long") from None
+                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "request not complete in time") from None
             except OSError:
                 if not self._stop_wakeup:
                     raise
-                self._stop_wakeup = False  # what came before the end of our reading is still to be had
+                self._stop_wakeup = False  # data received before the shutdown of reading can still be read
                 continue
             if not received:
                 if not started:
                     return None
                 if self.stopped:
-                    raise http.BadMessage(HTTPStatus.SERVICE_UNAVAILABLE, "the connection was to end")
-                raise http.BadMessage(HTTPStatus.BAD_REQUEST, "the request ended early")
+                    raise http.BadMessage(HTTPStatus.SERVICE_UNAVAILABLE, "connection is closing")
+                raise http.BadMessage(
+                    HTTPStatus.BAD_REQUEST, "connection closed before the end of the request"
+                )
             if deadline is not None and time.monotonic() > deadline:
-                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "the request took too long")
+                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "request not complete in time")
         return request
 
     def _send_continue(self) -> None:
-        """Ask for the body where the client waits to be asked."""
+        """Send `100 Continue` if the client waits for it before it sends the body."""
         if self._reader.headers_complete and self._reader.message.headers.pop("expect", "") == "100-continue":
             self._socket.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -224,16 +228,16 @@
         self._answered.wait()
 
     def _reject_malformed(self, status: HTTPStatus, reason: bytes = b"") -> None:
-        """Answer what cannot be taken on, and give the others time before the next of it."""
+        """Answer a malformed request, then pause so that a flood of them does not starve other clients."""
         self._intake.counters.add("malformed")
         self._write(status, reason)
         if not self._is_last_answer:
             gevent.sleep(MALFORMED_PAUSE)
 
     def answer(self, status: HTTPStatus, retry_after: float | None = None) -> bool:
-        """Write the answer to the message in hand; returns whether the client was there to hear it.
+        """Write the final answer to the current message; returns whether the client was still connected.
 
-        A client that has left gets a refusal all the same: should it still be listening, it may come again.
+        A client that has closed its sending side gets a 503: if it still reads, it may retry.
         """
         connected = not sockets.peer_closed(self._socket)
         try:
@@ -248,9 +252,9 @@
     def _write(self, status: HTTPStatus, body: bytes = b"", retry_after: float | None = None) -> None:
         headers = [("Retry-After", f"{retry_after:.3f}")] if retry_after else []
         data = http.response(status, headers, body, self._is_last_answer)
-        # The system may take an answer in parts. It is far smaller than a socket's buffer: one that does not
-        # even begin finds nobody reading. The rest of one that was begun is sent by the connection's own
-        # greenlet, so that others do not wait for it.
+        # The socket may take an answer in parts. Answers are far smaller than its send buffer, so if it takes
+        # nothing at all, the client does not read. The connection's own greenlet sends the rest of a partly
+        # sent answer, so that the caller does not wait.
         self._socket.settimeout(0.0)
         size = len(data)
         try:
@@ -263,14 +267,17 @@
         self._socket.settimeout(None)
 
     def _send_unsent(self) -> None:
-        """Send what the system did not take of an answer that was begun."""
+        """Send the rest of an answer that the socket took only in part."""
         unsent, self._unsent = self._unsent, b""
         if unsent:
             self._socket.settimeout(ANSWER_WRITE_TIMEOUT)
             self._socket.sendall(unsent)
 
     def reject(self) -> None:
-        """No room for another client: one that sent its request at once may still read why."""
+        """Answer 503 and close: there is no room for another client.
+
+        A request that has arrived already is read, so that no reset loses the answer.
+        """
         try:
             self._close_after_answer = True
             self._write(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=self._intake.retry_after)
@@ -278,12 +285,12 @@
             self._socket.settimeout(0.0)
             self._socket.recv_into(_discard_buffer)
         except OSError:
-            pass  # nothing has come, or the client is gone
+            pass  # no request has arrived, or the client has disconnected
         finally:
             self._socket.close()
 
     def _close_gracefully(self) -> None:
-        """End our side first and read what is under way, so that no answer is lost to a reset."""
+        """Shut down sending first and read what still arrives, so that no reset loses the answer."""
         self._send_unsent()
         self._enter_phase(_Phase.LEAVING)
         self._socket.shutdown(socket.SHUT_WR)
@@ -297,10 +304,10 @@
             gevent.sleep(0)
 
     def stop(self) -> None:
-        """End a connection that is missed least; a request that is not whole yet is not taken on.
+        """End the connection without accepting another request, not even one that has arrived in part.
 
-        The end of our reading wakes who waits for it with an error, also when bytes lie there unread: closed
-        over them, the connection would be reset and a request end with no answer.
+        Shutting down reading wakes the connection's greenlet with an error, even if there is unread data. A
+        plain close over unread data would reset the connection and leave a request without an answer.
         """
         self.stopped = self._stop_wakeup = True
         with suppress(OSError):
@@ -308,13 +315,13 @@
 
 
 class _Listener(StreamServer):
-    """Accepts connections, through failures that pass."""
+    """Accepts connections and retries after temporary failures."""
 
     max_accept = ACCEPTS_PER_TURN
     min_delay, max_delay = 0.005, MAX_ACCEPT_PAUSE
 
     def do_read(self) -> Any:
-        """The next connection, or nothing if none waits; a client that gave up in the backlog is passed."""
+        """The next connection, or `None` if none is queued; clients that left the backlog are skipped."""
         for _ in range(MAX_ABORTED_ACCEPTS):
             try:
                 return super().do_read()
@@ -324,8 +331,8 @@
         return None
 
     def accept_backlog(self) -> None:
-        """Have the system let nobody in, and accept all that it has; gives up on what keeps failing."""
-        # Whoever came between the last accept and the close would be reset, and a request lost with it.
+        """Block new connections and accept those in the backlog; gives up after `BACKLOG_TIMEOUT`."""
+        # A connection that arrived between the last accept and the close would be reset and lose its request.
         drop_new_connections(self.socket)
         gevent.sleep(HANDSHAKE_TIMEOUT)
         end = time.monotonic() + BACKLOG_TIMEOUT
@@ -341,7 +348,7 @@
 
 
 class Intake:
-    """The listening socket and its connections."""
+    """The listening socket and the connections of clients."""
 
     def __init__(
         self,
@@ -366,7 +373,7 @@
     def update_settings(
         self, settings: api.Settings, classes: Collection[str], tenants: Collection[str]
     ) -> None:
-        """Take new messages on in these classes, for these tenants, whose positions the settings tell."""
+        """Accept new messages of these classes and tenants only; `settings` gives their positions."""
         self.classes = {
             message_class.name: i
             for i, message_class in enumerate(settings.classes)
@@ -383,20 +390,20 @@
 
     @property
     def address(self) -> HostPort:
-        """Where it listens."""
+        """The address it listens on."""
         assert self._server.server_port is not None
         return str(self._server.server_host), self._server.server_port
 
     @property
     def no_clients(self) -> bool:
-        """Whether every client that came has been answered and has gone."""
+        """Whether all connections have been answered and closed."""
         return not self._connections
 
     def drain(self) -> None:
-        """Go on accepting, but give each connection one answer at most; those at rest end now.
+        """Answer at most one more request on each connection, and end idle connections now.
 
-        One that has yet to bring its first request keeps its time for it: closed in silence, that request
-        would be lost.
+        New connections are still accepted. A connection without a request so far keeps its time to send one:
+        closed without an answer, that request would be lost.
         """
         self.stage = Stage.DRAINING
         for connection in list(self._connections.values()):
@@ -404,7 +411,7 @@
                 connection.stop()
 
     def close(self) -> None:
-        """Accept no more, but all that the system has let in: closing over them would reset them."""
+        """Stop listening. Connections in the backlog are accepted first: the close would reset them."""
         if self.stage is Stage.CLOSED:
             return
         self.stage = Stage.CLOSED
@@ -424,10 +431,10 @@
             del self._connections[id(connection)]
 
     def _make_room(self) -> bool:
-        """For the next client, let the one go that is missed least; returns whether there is one.
+        """Evict one connection to make room for a new client; returns whether there was one to evict.
 
-        At the last, one idle for less than its due: a request that crosses its close comes again, while a
-        newcomer turned away may not.
+        The last choice is a connection that became idle only recently: if its client is just sending a
+        request, it retries that on a new connection, while a new client that is rejected may not retry.
         """
         now = time.monotonic()
         for phase, min_age in (*((phase, phase.value) for phase in _Phase), (_Phase.IDLE, 0.0)):
@@ -442,19 +449,19 @@
         return False
 
     def make_arrival(self, request: http.Message, name: str, client: _Connection) -> Arrival:
-        """The message that a request hands in, of the class that its path names."""
+        """The message that a request submits to the class `name` of its path."""
         if request.headers.get("x-priority-class", name) != name:
-            raise _MalformedRequest("X-Priority-Class: not the class that the path names")
+            raise _MalformedRequest("X-Priority-Class: differs from the class in the path")
         index = self.classes[name]
         key = _header_word(request, "Idempotency-Key")
         if self._message_classes[index].effect is api.Effect.KEYED and not key:
-            raise _MalformedRequest("Idempotency-Key: due in this class")
+            raise _MalformedRequest("Idempotency-Key: required in this class")
         id_ = _header_word(request, "X-Request-ID")
         if not id_:
-            raise _MalformedRequest("X-Request-ID: due")
+            raise _MalformedRequest("X-Request-ID: required")
         tenant = request.headers.get("x-tenant-id", "")
         if tenant and self._tenants and tenant not in self._tenants:
-            raise _MalformedRequest("X-Tenant-Id: unknown")
+            raise _MalformedRequest("X-Tenant-Id: unknown tenant")
         retried = request.headers.get("x-retried", "")
         timeout = min(_timeout_seconds(request), self._message_classes[index].deadline)
         return Arrival(
@@ -472,17 +479,22 @@
 
 
 def _header_word(request: http.Message, name: str) -> str:
-    """A header that passes on unchanged, also as a word of a shared call's lines; empty if absent."""
+    """The value of a header, empty if absent.
+
+    It is forwarded unchanged, also as one word in a line of a batch call, so it must not contain spaces.
+    """
     text = request.headers.get(name.lower(), "")
     if len(text) > MAX_HEADER_VALUE or not text.isascii() or any(c <= " " or c == "\x7f" for c in text):
-        raise _MalformedRequest(f"{name}: one word of at most {MAX_HEADER_VALUE} printable characters is due")
+        raise _MalformedRequest(
+            f"{name}: expected at most {MAX_HEADER_VALUE} printable ASCII characters without spaces"
+        )
     return text
 
 
 def _timeout_seconds(request: http.Message) -> float:
     text = request.headers.get("x-timeout", "")
     if not SECONDS_PATTERN.fullmatch(text):
-        raise _MalformedRequest("X-Timeout: seconds are due")
+        raise _MalformedRequest("X-Timeout: expected a number of seconds")
     return float(text)
 
 
@@ -491,4 +503,4 @@
         name, _, value = item.strip().partition("=")
         if name == "dest" and NUMBER_PATTERN.fullmatch(value):
             return int(value)
-    raise _MalformedRequest("X-Consignee: dest=NUMBER is due")
+    raise _MalformedRequest("X-Consignee: expected dest=NUMBER")
