--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -173,7 +173,7 @@
         with suppress(OSError):
             let_in.append(socket.create_connection(part.address, timeout=0.2))
 
-    monkeypatch.setattr(_Listener, "accept_rest", then_a_client_comes)
+    monkeypatch.setattr(_Listener, "accept_backlog", then_a_client_comes)
     with doorway([HTTPStatus.SERVICE_UNAVAILABLE]) as (part, _):
         part.drain()
         part.close()
