--- a/irisstack/node/http.py
+++ b/irisstack/node/http.py
@@ -27,7 +27,7 @@
         self.status = status
 
 
-P = TypeVar("P", httptools.HttpRequestParser, httptools.HttpResponseParser)
+Parser = TypeVar("Parser", httptools.HttpRequestParser, httptools.HttpResponseParser)
 
 
 @dataclass(slots=True)
@@ -42,11 +42,11 @@
     status: int = 0
 
 
-class _Reader(Generic[P]):
+class _Reader(Generic[Parser]):
     """Incremental parser that consumes from the buffer no more than the present message."""
 
-    def __init__(self, make_parser: Callable[["_Reader[P]"], P], max_body: int) -> None:
-        self._make_parser: Callable[[_Reader[P]], P] = make_parser
+    def __init__(self, make_parser: Callable[["_Reader[Parser]"], Parser], max_body: int) -> None:
+        self._make_parser: Callable[[_Reader[Parser]], Parser] = make_parser
         self.max_body = max_body
         self._reset()
 
@@ -55,9 +55,9 @@
         self.headers_complete = self._complete = False
         self._head_size = 0
         self._first_line_read = False
-        self._body_left: int | None = None  # bytes still to come; None without a Content-Length
+        self._body_remaining: int | None = None  # bytes still to come; None without a Content-Length
         self._chunked = False
-        self._parser: P = self._make_parser(self)
+        self._parser: Parser = self._make_parser(self)
 
     @property
     def started(self) -> bool:
@@ -69,7 +69,7 @@
 
         Raises `BadMessage`.
         """
-        while not self._complete and (size := self._feedable(buffer)):
+        while not self._complete and (size := self._feed_size(buffer)):
             if not self.headers_complete:
                 self._head_size += size
                 if self._head_size > MAX_HEAD:
@@ -87,14 +87,14 @@
                 raise BadMessage(HTTPStatus.BAD_REQUEST, str(error)) from None
         if not self._complete:
             return None
-        whole = self.message
+        message = self.message
         self._reset()
-        return whole
+        return message
 
-    def _feedable(self, buffer: Buffer) -> int:
+    def _feed_size(self, buffer: Buffer) -> int:
         """Bytes of the buffer that can be fed without running past the end of the message."""
         if self.headers_complete and not self._chunked:
-            return len(buffer) if self._body_left is None else min(len(buffer), self._body_left)
+            return len(buffer) if self._body_remaining is None else min(len(buffer), self._body_remaining)
         size = buffer.line_length()
         if not size and len(buffer) > (self.max_body if self.headers_complete else 0) + MAX_HEAD:
             status = (
@@ -111,8 +111,8 @@
         """Join repeated headers with commas; trailers after a chunked body are ignored."""
         if not self.headers_complete:
             key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-            earlier = self.message.headers.get(key)
-            self.message.headers[key] = text if earlier is None else f"{earlier}, {text}"
+            previous = self.message.headers.get(key)
+            self.message.headers[key] = text if previous is None else f"{previous}, {text}"
 
     def on_headers_complete(self) -> None:
         self.headers_complete = True
@@ -121,14 +121,14 @@
         self.message.keep_alive = self._parser.should_keep_alive()
         length = headers.get("content-length")
         if length is not None and not self._chunked:
-            self._body_left = int(length)
-            if self._body_left > self.max_body:
+            self._body_remaining = int(length)
+            if self._body_remaining > self.max_body:
                 raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
 
     def on_body(self, body: bytes) -> None:
         self.message.body += body
-        if self._body_left is not None:
-            self._body_left -= len(body)
+        if self._body_remaining is not None:
+            self._body_remaining -= len(body)
         if len(self.message.body) > self.max_body:
             raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
 
@@ -155,7 +155,7 @@
 
     def __init__(self, max_body: int = MAX_BODY) -> None:
         super().__init__(httptools.HttpResponseParser, max_body)
-        self._interim = 0  # interim answers so far
+        self._interim_count = 0  # interim answers so far
 
     def on_headers_complete(self) -> None:
         self.message.status = self._parser.get_status_code()
@@ -165,16 +165,16 @@
         """As for any message; interim (1xx) answers are skipped."""
         while (message := super().advance(buffer)) is not None:
             if message.status >= HTTPStatus.OK:
-                self._interim = 0
+                self._interim_count = 0
                 return message
-            self._interim += 1
-            if self._interim > MAX_INTERIM:
+            self._interim_count += 1
+            if self._interim_count > MAX_INTERIM:
                 raise BadMessage(HTTPStatus.BAD_REQUEST, "too many answers ahead")
         return None
 
     def finish_at_eof(self) -> Message | None:
         """The answer that ends with the connection, having neither length nor chunks; else `None`."""
-        if self.headers_complete and self._body_left is None and not self._chunked:
+        if self.headers_complete and self._body_remaining is None and not self._chunked:
             return self.message
         return None
 
@@ -185,9 +185,9 @@
 
     def take_body(self) -> bytes:
         """Remove and return the part of a streamed body that has been received."""
-        taken = bytes(self.message.body)
+        body = bytes(self.message.body)
         self.message.body.clear()
-        return taken
+        return body
 
 
 def request(
--- a/irisstack/node/objects.py
+++ b/irisstack/node/objects.py
@@ -11,7 +11,7 @@
 
     def __init__(self, max_size: int) -> None:
         self._max_size = max_size  # bytes of one object
-        self._rest = bytearray()
+        self._buffer = bytearray()
         self._scanned = 0  # bytes of the rest that were searched for tokens
         self._depth = 0  # open brackets
 
@@ -25,10 +25,10 @@
 
         Raises `ValueError` where something other than an object begins, and for an object that is too long.
         """
-        self._rest += data
-        whole: list[bytes] = []
+        self._buffer += data
+        objects: list[bytes] = []
         start = 0
-        while token := TOKEN.search(self._rest, self._scanned):
+        while token := TOKEN.search(self._buffer, self._scanned):
             if token[0].startswith(b'"'):
                 if not token["end"]:
                     self._scanned = token.start()
@@ -39,19 +39,19 @@
                 self._depth -= 1
             self._scanned = token.end()
             if self._depth <= 0:
-                whole.append(bytes(self._rest[start : self._scanned]).strip())
+                objects.append(bytes(self._buffer[start : self._scanned]).strip())
                 start, self._depth = self._scanned, 0
-                if not whole[-1].startswith(b"{"):
-                    raise ValueError(f"no object: {whole[-1][:40]!r}")
+                if not objects[-1].startswith(b"{"):
+                    raise ValueError(f"no object: {objects[-1][:40]!r}")
         else:
-            self._scanned = len(self._rest)
-        del self._rest[:start]
+            self._scanned = len(self._buffer)
+        del self._buffer[:start]
         self._scanned -= start
         if not self._depth:
-            if self._rest.strip():
-                raise ValueError(f"no object: {bytes(self._rest[:40])!r}")
-            self._rest.clear()
+            if self._buffer.strip():
+                raise ValueError(f"no object: {bytes(self._buffer[:40])!r}")
+            self._buffer.clear()
             self._scanned = 0
-        if len(self._rest) > self._max_size:
+        if len(self._buffer) > self._max_size:
             raise ValueError(f"an object of over {self._max_size} bytes")
-        return whole
+        return objects
--- a/irisstack/node/peers.py
+++ b/irisstack/node/peers.py
@@ -43,7 +43,7 @@
 
     def run(self) -> None:
         """Hand on each datagram of a known peer until the socket is closed."""
-        read = 0
+        read_count = 0
         while True:
             try:
                 data, sender = self._socket.recvfrom(MAX_DATAGRAM + 1)
@@ -57,21 +57,21 @@
             if number is None or not 0 < len(data) <= MAX_DATAGRAM:
                 self._counters.add("notes_strange")
             else:
-                taken = self._post(api.PeerMessage(number, data))
-                self._counters.add("notes_heard" if taken else "notes_dropped")
-            read += 1
-            if read % READS_PER_TURN == 0:
+                accepted = self._post(api.PeerMessage(number, data))
+                self._counters.add("notes_heard" if accepted else "notes_dropped")
+            read_count += 1
+            if read_count % READS_PER_TURN == 0:
                 gevent.sleep(0)
 
     def send(self, peer: int | None, data: bytes) -> None:
         """Send to one peer, or to all for `None`; a failed send is counted and not repeated."""
-        for to in self._peers if peer is None else self._peers[peer : peer + 1]:
+        for address in self._peers if peer is None else self._peers[peer : peer + 1]:
             try:
-                self._socket.sendto(data, to)
+                self._socket.sendto(data, address)
                 self._counters.add("notes_told")
             except OSError as error:
                 self._counters.add("notes_untold")
-                log.debug("note_untold", peer=name_of(to), error=error.strerror)
+                log.debug("note_untold", peer=name_of(address), error=error.strerror)
 
     def close(self) -> None:
         self._socket.close()
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -161,7 +161,7 @@
                 continue
             if new.discovery != self._config.discovery:
                 self._discovery.mailbox.put(Moved(new.discovery))
-                self._notices.set_peer(new.discovery)
+                self._notices.set_address(new.discovery)
             waiting = [
                 field.name
                 for field in fields(Config)
--- a/irisstack/node/sockets.py
+++ b/irisstack/node/sockets.py
@@ -11,14 +11,14 @@
 from irisstack.node.config import HostPort
 from irisstack.node.retry import Made, retry
 
-BROKEN = select.POLLHUP | select.POLLERR
+BROKEN_EVENTS = select.POLLHUP | select.POLLERR
 MIN_TIMEOUT = 0.001
 """Seconds. A socket's time-out of zero would make it non-blocking."""
-SCARCE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 """What this machine has run out of, perhaps for a moment."""
-OWN_ERRORS = SCARCE | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
+LOCAL_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
 """Of a connect: what this machine has run out of, or that it has no network, perhaps for a moment."""
-FIRST_PAUSE, LONGEST_PAUSE = 0.02, 0.2
+MIN_RETRY_PAUSE, MAX_RETRY_PAUSE = 0.02, 0.2
 """Seconds from such a failure to the next try; they double."""
 
 
@@ -26,7 +26,7 @@
     """No connection could be made for want of something on this machine; the peer may be well."""
 
 
-def connect(peer: HostPort, timeout: float, retry_for: float | None = None) -> socket.socket:
+def connect(address: HostPort, timeout: float, retry_for: float | None = None) -> socket.socket:
     """Open a TCP connection with TCP_NODELAY; raises `OSError`, `TimeoutError` after `timeout` seconds.
 
     What this machine lacks for a moment is tried again, for `keep_trying` seconds (by default the same time);
@@ -34,25 +34,31 @@
     """
     try:
         return retry(
-            lambda left: _connect_once(peer, max(MIN_TIMEOUT, min(timeout, left))),
-            lambda error: error.errno in OWN_ERRORS,
+            lambda remaining: _connect_once(address, max(MIN_TIMEOUT, min(timeout, remaining))),
+            lambda error: error.errno in LOCAL_ERRORS,
             timeout if retry_for is None else retry_for,
-            FIRST_PAUSE,
-            LONGEST_PAUSE,
+            MIN_RETRY_PAUSE,
+            MAX_RETRY_PAUSE,
         )
     except OSError as error:
-        if error.errno not in OWN_ERRORS:
+        if error.errno not in LOCAL_ERRORS:
             raise
         raise LocalResourceError(error.errno, error.strerror) from None
 
 
-def retry_while_out_of_resources(make: Callable[[], Made], seconds: float) -> Made:
+def retry_while_out_of_resources(operation: Callable[[], Made], seconds: float) -> Made:
     """Do what needs descriptors or buffers, again and again for a time while this machine lacks them."""
-    return retry(lambda _: make(), lambda error: error.errno in SCARCE, seconds, LONGEST_PAUSE, LONGEST_PAUSE)
+    return retry(
+        lambda _: operation(),
+        lambda error: error.errno in RESOURCE_ERRORS,
+        seconds,
+        MAX_RETRY_PAUSE,
+        MAX_RETRY_PAUSE,
+    )
 
 
-def _connect_once(peer: HostPort, timeout: float) -> socket.socket:
-    connection = socket.create_connection(peer, timeout=timeout)
+def _connect_once(address: HostPort, timeout: float) -> socket.socket:
+    connection = socket.create_connection(address, timeout=timeout)
     try:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
@@ -63,12 +69,12 @@
 
 def nothing_to_read(connection: socket.socket) -> bool:
     """Whether nothing, not even the end of the stream, waits to be read: the connection can be used again."""
-    return not _polls(connection, select.POLLIN | BROKEN)
+    return not _has_events(connection, select.POLLIN | BROKEN_EVENTS)
 
 
 def peer_closed(connection: socket.socket) -> bool:
     """Whether the peer has shut down its sending side, or the connection is broken."""
-    return _polls(connection, select.POLLRDHUP | BROKEN)
+    return _has_events(connection, select.POLLRDHUP | BROKEN_EVENTS)
 
 
 def receive_before(connection: socket.socket, buffer: Buffer, deadline: float) -> int:
@@ -98,7 +104,7 @@
         raise ConnectionResetError(error.errno, error.strerror) from None
 
 
-def _polls(connection: socket.socket, events: int) -> bool:
+def _has_events(connection: socket.socket, events: int) -> bool:
     poll = select.poll()
     poll.register(connection.fileno(), events)
     return bool(poll.poll(0))
--- a/tests/node/test_notices.py
+++ b/tests/node/test_notices.py
@@ -30,7 +30,7 @@
 def test_an_answer_that_never_ends_does_not_hold_up_the_notices(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: bytes, trickles: bool
 ) -> None:
-    monkeypatch.setattr(notices, "REQUEST_TIMEOUT", 0.3)
+    monkeypatch.setattr(notices, "MAX_REQUEST_TIMEOUT", 0.3)
     store = Store(tmp_path, 3_000_000, 1000.0)
     take(store, 1)
     store.write([store.over(1, "dead")], 1000.0)
