--- a/irisstack/node/buffer.py
+++ b/irisstack/node/buffer.py
@@ -1,19 +1,19 @@
-"""The receive buffer of a connection: one byte array that grows on demand and is compacted in place."""
+"""A connection's receive buffer: one byte array that grows on demand and is compacted in place."""
 
 from typing import Protocol
 
 INITIAL_SIZE = 4096
-"""Bytes."""
+"""Initial size of a buffer in bytes."""
 
 
 class ByteSource(Protocol):
-    """A source of bytes: a socket, or a stand-in for one."""
+    """A source of bytes: a socket, or a test double."""
 
     def recv_into(self, buffer: memoryview, /) -> int: ...
 
 
 class Buffer:
-    """Bytes that were received and not consumed yet."""
+    """Bytes that have been received and not consumed yet."""
 
     def __init__(self) -> None:
         self._data = bytearray(INITIAL_SIZE)
@@ -31,7 +31,7 @@
         return count
 
     def _make_room(self) -> None:
-        """Move unread bytes to the front, and grow only if the array is still full."""
+        """Move unread bytes to the front; double the array if it is still full."""
         if self._start:
             unread = len(self)
             self._data[:unread] = self._data[self._start : self._end]
@@ -40,7 +40,7 @@
             self._data.extend(bytes(len(self._data)))
 
     def line_length(self) -> int:
-        """The length of the first line with its line feed; 0 while there is no line feed."""
+        """Length of the first line including its line feed; 0 if the buffer holds no line feed."""
         position = self._data.find(b"\n", self._start, self._end)
         return 0 if position < 0 else position + 1 - self._start
 
--- a/irisstack/node/http.py
+++ b/irisstack/node/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 without I/O: parses messages from a connection's buffer and serialises messages to bytes."""
+"""HTTP/1.1 without I/O: parses messages from a connection's buffer and serialises them to bytes."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -10,17 +10,17 @@
 from irisstack.node.buffer import Buffer
 
 MAX_HEAD = 16 * 1024
-"""Bytes of a message's first line and headers."""
+"""Maximum bytes of a message's first line and headers."""
 MAX_BODY = 64 * 1024
-"""Bytes of a message's body, in requests and answers."""
+"""Maximum bytes of a message body, in requests and responses."""
 MAX_INTERIM = 16
-"""Interim (1xx) answers before the final one."""
+"""Maximum number of interim (1xx) responses before the final one."""
 MAX_LIST = 16 * 1024 * 1024
-"""Bytes of an endpoint list, which grows with the fleet."""
+"""Maximum bytes of an endpoint list, which grows with the fleet."""
 
 
 class BadMessage(Exception):
-    """The bytes are no acceptable HTTP message; `status` is the answer to send."""
+    """The received bytes are not an acceptable HTTP message; `status` is the status to answer with."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or an answer."""
+    """A request or a response. Header names are in lower case."""
 
     headers: dict[str, str] = field(default_factory=dict)
     body: bytearray = field(default_factory=bytearray)
@@ -43,7 +43,7 @@
 
 
 class _Reader(Generic[Parser]):
-    """Incremental parser that consumes from the buffer no more than the present message."""
+    """Incremental parser that consumes no more of the buffer than the current message."""
 
     def __init__(self, make_parser: Callable[["_Reader[Parser]"], Parser], max_body: int) -> None:
         self._make_parser: Callable[[_Reader[Parser]], Parser] = make_parser
@@ -55,17 +55,17 @@
         self.headers_complete = self._complete = False
         self._head_size = 0
         self._first_line_read = False
-        self._body_remaining: int | None = None  # bytes still to come; None without a Content-Length
+        self._body_remaining: int | None = None  # bytes still to be received; None without a Content-Length
         self._chunked = False
         self._parser: Parser = self._make_parser(self)
 
     @property
     def started(self) -> bool:
-        """Whether a part of a message has been read."""
+        """Whether part of a message has been read."""
         return self._head_size > 0
 
     def advance(self, buffer: Buffer) -> Message | None:
-        """Consume what the buffer holds of the present message; returns it once it is complete.
+        """Consume what the buffer holds of the current message; returns the message once it is complete.
 
         Raises `BadMessage`.
         """
@@ -73,12 +73,14 @@
             if not self.headers_complete:
                 self._head_size += size
                 if self._head_size > MAX_HEAD:
-                    raise BadMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
+                    raise BadMessage(
+                        HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"headers exceed {MAX_HEAD} bytes"
+                    )
             try:
                 self._parser.feed_data(buffer.take(size))
                 self._first_line_read = True
             except httptools.HttpParserUpgrade:
-                raise BadMessage(HTTPStatus.BAD_REQUEST, "no other protocol is spoken here") from None
+                raise BadMessage(HTTPStatus.BAD_REQUEST, "protocol upgrades are not supported") from None
             except httptools.HttpParserCallbackError as error:
                 if isinstance(error.__context__, BadMessage):
                     raise error.__context__ from None
@@ -92,7 +94,7 @@
         return message
 
     def _feed_size(self, buffer: Buffer) -> int:
-        """Bytes of the buffer that can be fed without running past the end of the message."""
+        """How many bytes of the buffer can be fed to the parser without passing the end of the message."""
         if self.headers_complete and not self._chunked:
             return len(buffer) if self._body_remaining is None else min(len(buffer), self._body_remaining)
         size = buffer.line_length()
@@ -102,13 +104,13 @@
                 if self.headers_complete
                 else HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             )
-            raise BadMessage(status, "a line is too long")
+            raise BadMessage(status, "line too long")
         return size
 
     # Callbacks of httptools:
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Join repeated headers with commas; trailers after a chunked body are ignored."""
+        """Store a header; repeated ones are joined with commas, trailers after a chunked body are ignored."""
         if not self.headers_complete:
             key, text = name.decode("latin-1").lower(), value.decode("latin-1")
             previous = self.message.headers.get(key)
@@ -123,21 +125,21 @@
         if length is not None and not self._chunked:
             self._body_remaining = int(length)
             if self._body_remaining > self.max_body:
-                raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+                raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body exceeds {self.max_body} bytes")
 
     def on_body(self, body: bytes) -> None:
         self.message.body += body
         if self._body_remaining is not None:
             self._body_remaining -= len(body)
         if len(self.message.body) > self.max_body:
-            raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+            raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body exceeds {self.max_body} bytes")
 
     def on_message_complete(self) -> None:
         self._complete = True
 
 
 class RequestReader(_Reader[httptools.HttpRequestParser]):
-    """Parses requests of a client."""
+    """Parses requests from a client."""
 
     def __init__(self) -> None:
         super().__init__(httptools.HttpRequestParser, MAX_BODY)
@@ -151,40 +153,43 @@
 
 
 class ResponseReader(_Reader[httptools.HttpResponseParser]):
-    """Parses answers of an endpoint or the platform."""
+    """Parses responses from an endpoint or the platform."""
 
     def __init__(self, max_body: int = MAX_BODY) -> None:
         super().__init__(httptools.HttpResponseParser, max_body)
-        self._interim_count = 0  # interim answers so far
+        self._interim_count = 0  # interim responses before the current one
 
     def on_headers_complete(self) -> None:
         self.message.status = self._parser.get_status_code()
         super().on_headers_complete()
 
     def advance(self, buffer: Buffer) -> Message | None:
-        """As for any message; interim (1xx) answers are skipped."""
+        """As in the base class; interim (1xx) responses are skipped."""
         while (message := super().advance(buffer)) is not None:
             if message.status >= HTTPStatus.OK:
                 self._interim_count = 0
                 return message
             self._interim_count += 1
             if self._interim_count > MAX_INTERIM:
-                raise BadMessage(HTTPStatus.BAD_REQUEST, "too many answers ahead")
+                raise BadMessage(HTTPStatus.BAD_REQUEST, f"more than {MAX_INTERIM} interim responses")
         return None
 
     def finish_at_eof(self) -> Message | None:
-        """The answer that ends with the connection, having neither length nor chunks; else `None`."""
+        """The response if the end of the connection ends it (no length, not chunked), else `None`.
+
+        Call this at the end of the stream.
+        """
         if self.headers_complete and self._body_remaining is None and not self._chunked:
             return self.message
         return None
 
     @property
     def status_is_ok(self) -> bool:
-        """Whether the status line of an unfinished answer says 200, which stands whatever follows."""
+        """Whether an unfinished response has status 200, which holds whatever follows."""
         return self._first_line_read and self._parser.get_status_code() == HTTPStatus.OK
 
     def take_body(self) -> bytes:
-        """Remove and return the part of a streamed body that has been received."""
+        """Remove and return the part of a streamed body received so far."""
         body = bytes(self.message.body)
         self.message.body.clear()
         return body
@@ -203,7 +208,7 @@
 def response(
     status: HTTPStatus, headers: Iterable[tuple[str, str]] = (), body: bytes = b"", close: bool = False
 ) -> bytes:
-    """Serialise an answer; `close` announces that the connection ends after it."""
+    """Serialise a response; `close` announces that the connection is closed after it."""
     lines = [f"HTTP/1.1 {status.value} {status.phrase}", *(f"{name}: {value}" for name, value in headers)]
     if close:
         lines.append("Connection: close")
--- a/irisstack/node/notices.py
+++ b/irisstack/node/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform about accepted messages that were not delivered, posted until acknowledged."""
+"""Sends the platform a notice for each accepted message that was not delivered, until it is acknowledged."""
 
 import json
 import time
@@ -16,21 +16,21 @@
 from irisstack.node.store import Entry, Store
 
 INITIAL_REQUEST_TIMEOUT, MAX_REQUEST_TIMEOUT = 0.1, 1.0
-"""Seconds for one request, from the connect to the end of its answer: at first, and at most.
+"""Seconds for one request, from the connect to the end of its response.
 
-They double with each that is silent. A notice is due 0.3 s after its message's time, so that the first silent
-connection has to leave time for another.
+The timeout doubles with each request that times out. A notice is due 0.3 s after its message's deadline, so a
+first request that times out must leave time for a second one.
 """
 RETRY_PAUSE = 0.1
-"""Seconds from the begin of a failed request to the next, at least."""
+"""Minimum seconds from the start of a failed request to the next one."""
 MAX_BATCH = 200
-"""Notices in one request; a body holds 64 KiB at most."""
+"""Notices in one request; the body is limited to 64 KiB."""
 
 log = structlog.get_logger()
 
 
 class NoticeSender:
-    """Posts notices with one request at a time; those that come meanwhile go with the next request."""
+    """Posts notices, one request at a time; notices added meanwhile go into the next request."""
 
     def __init__(self, address: HostPort, store: Store, counters: Counters) -> None:
         self._address = address
@@ -42,14 +42,14 @@
         self._timeout = INITIAL_REQUEST_TIMEOUT
 
     def add(self, entry: Entry) -> None:
-        """Post a notice of this message."""
+        """Queue the notice of this message."""
         self._unacknowledged[entry.number] = entry
         self._wake.set()
 
     def set_address(self, address: HostPort) -> None:
-        """Post to another address from now on; a request under way is aborted and sent there instead.
+        """Post to another address from now on; a request in flight is aborted and repeated there.
 
-        Notices are idempotent: it does no harm if the old address has taken the request.
+        Notices are idempotent, so it does no harm if the old address has processed the request.
         """
         self._address = address
         self._close()
@@ -60,7 +60,7 @@
         return not self._unacknowledged
 
     def run(self) -> None:
-        """Post for ever."""
+        """Post queued notices; never returns."""
         while True:
             self._wake.wait()
             self._wake.clear()
@@ -71,9 +71,11 @@
                     gevent.sleep(max(0.0, started_at + RETRY_PAUSE - time.monotonic()))
 
     def _post_batch(self, batch: list[Entry]) -> bool:
-        """Post some notices; returns whether all are settled: acknowledged, or refused as unreadable."""
+        """Post notices; returns whether all are done with: acknowledged, or rejected as malformed."""
         status = self._post("".join(json.dumps(_notice(entry)) + "\n" for entry in batch).encode())
-        if status == 400 and len(batch) > 1:  # one of them cannot be read, and must not hold up the rest
+        if (
+            status == 400 and len(batch) > 1
+        ):  # post them one by one, so that a malformed one does not block the rest
             acknowledged = [self._post_batch([entry]) for entry in batch]
             return all(acknowledged)
         if status == 400:
@@ -88,7 +90,7 @@
         return True
 
     def _post(self, body: bytes) -> int:
-        """The status of one POST; 0 if no whole answer came."""
+        """Send one POST; returns its status, or 0 without a complete response."""
         buffer, reader = Buffer(), http.ResponseReader()
         timeout = min(self._timeout, MAX_REQUEST_TIMEOUT)
         deadline = time.monotonic() + timeout
@@ -98,7 +100,7 @@
             address = self._address
             connection = self._socket = self._socket or sockets.connect(address, timeout)
             if address != self._address:
-                raise ConnectionAbortedError("the platform has moved")
+                raise ConnectionAbortedError("the platform's address has changed")
             connection.settimeout(max(0.001, deadline - time.monotonic()))
             connection.sendall(
                 http.request(
@@ -107,11 +109,11 @@
             )
             while (response := reader.advance(buffer)) is None:
                 if not sockets.receive_before(connection, buffer, deadline):
-                    raise ConnectionResetError("the answer ended early")
+                    raise ConnectionResetError("connection closed before the end of the response")
         except (OSError, http.BadMessage) as error:
             log.info("notice_connection_lost", error=repr(error))
             self._close()
-            if isinstance(error, TimeoutError):  # the platform may be slow; a refusal says nothing of that
+            if isinstance(error, TimeoutError):  # the platform may be slow; other errors do not indicate that
                 self._timeout = 2.0 * timeout
             return 0
         self._timeout = INITIAL_REQUEST_TIMEOUT
--- a/irisstack/node/peers.py
+++ b/irisstack/node/peers.py
@@ -1,4 +1,4 @@
-"""Gossip between nodes: datagrams to and from the peers that the configuration names."""
+"""Gossip between nodes: datagrams to and from the peers in the configuration."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,9 +11,9 @@
 from irisstack.node.counters import Counters
 
 MAX_DATAGRAM = 256
-"""Bytes of a datagram at most; a longer one is dropped."""
+"""Maximum bytes of a datagram; longer ones are dropped."""
 READS_PER_TURN = 200
-"""Datagrams read before other greenlets run; what the socket's buffer cannot hold meanwhile is lost."""
+"""Datagrams read before other greenlets run; those that overflow the socket's buffer meanwhile are lost."""
 ERROR_PAUSE = 0.01
 """Seconds from a read error to the next read."""
 
@@ -21,7 +21,7 @@
 
 
 class GossipSocket:
-    """One UDP socket at the node's own address. Datagrams may be lost, late or doubled; none is answered."""
+    """A UDP socket at the node's address. Datagrams may be lost, late or duplicated; none is acknowledged."""
 
     def __init__(
         self,
@@ -42,15 +42,15 @@
         self._socket.bind(self._listen)
 
     def run(self) -> None:
-        """Hand on each datagram of a known peer until the socket is closed."""
+        """Pass on datagrams from known peers until the socket is closed."""
         read_count = 0
         while True:
             try:
                 data, sender = self._socket.recvfrom(MAX_DATAGRAM + 1)
-            except OSError as error:  # as from a peer that is down; the socket stays usable
+            except OSError as error:  # for example because a peer is down; the socket stays usable
                 if self._socket.fileno() < 0:
                     return
-                log.debug("note_unread", error=error.strerror)
+                log.debug("gossip_not_received", error=error.strerror)
                 gevent.sleep(ERROR_PAUSE)
                 continue
             number = self._numbers.get((sender[0], sender[1]))
@@ -64,14 +64,14 @@
                 gevent.sleep(0)
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send to one peer, or to all for `None`; a failed send is counted and not repeated."""
+        """Send to one peer, or to all if `None`; a failed send is counted and not retried."""
         for address in self._peers if peer is None else self._peers[peer : peer + 1]:
             try:
                 self._socket.sendto(data, address)
                 self._counters.add("notes_told")
             except OSError as error:
                 self._counters.add("notes_untold")
-                log.debug("note_untold", peer=name_of(address), error=error.strerror)
+                log.debug("gossip_not_sent", peer=name_of(address), error=error.strerror)
 
     def close(self) -> None:
         self._socket.close()
--- a/irisstack/node/sockets.py
+++ b/irisstack/node/sockets.py
@@ -1,4 +1,4 @@
-"""Helpers for the sockets to endpoints, clients and the platform."""
+"""Helpers for sockets to endpoints, clients and the platform."""
 
 import errno
 import select
@@ -13,24 +13,24 @@
 
 BROKEN_EVENTS = select.POLLHUP | select.POLLERR
 MIN_TIMEOUT = 0.001
-"""Seconds. A socket's time-out of zero would make it non-blocking."""
+"""Seconds; a timeout of zero would make a socket non-blocking."""
 RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-"""What this machine has run out of, perhaps for a moment."""
+"""Errors that say that this machine has run out of descriptors or buffers; they may be temporary."""
 LOCAL_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
-"""Of a connect: what this machine has run out of, or that it has no network, perhaps for a moment."""
+"""Errors of a connect caused by this machine: no resources, ports or network; they may be temporary."""
 MIN_RETRY_PAUSE, MAX_RETRY_PAUSE = 0.02, 0.2
-"""Seconds from such a failure to the next try; they double."""
+"""Seconds between retries after such errors; the pause doubles with each retry."""
 
 
 class LocalResourceError(OSError):
-    """No connection could be made for want of something on this machine; the peer may be well."""
+    """A connect failed because of this machine; it says nothing about the remote host."""
 
 
 def connect(address: HostPort, timeout: float, retry_for: float | None = None) -> socket.socket:
     """Open a TCP connection with TCP_NODELAY; raises `OSError`, `TimeoutError` after `timeout` seconds.
 
-    What this machine lacks for a moment is tried again, for `keep_trying` seconds (by default the same time);
-    then it is an `LocalResourceError`.
+    Errors caused by this machine are retried for `retry_for` seconds, by default for `timeout`; then
+    `LocalResourceError` is raised.
     """
     try:
         return retry(
@@ -47,7 +47,7 @@
 
 
 def retry_while_out_of_resources(operation: Callable[[], Made], seconds: float) -> Made:
-    """Do what needs descriptors or buffers, again and again for a time while this machine lacks them."""
+    """Run an operation, and retry it for a number of seconds while this machine is out of resources."""
     return retry(
         lambda _: operation(),
         lambda error: error.errno in RESOURCE_ERRORS,
@@ -68,25 +68,26 @@
 
 
 def nothing_to_read(connection: socket.socket) -> bool:
-    """Whether nothing, not even the end of the stream, waits to be read: the connection can be used again."""
+    """Whether there is neither data nor an end of stream to read, so that the connection can be reused."""
     return not _has_events(connection, select.POLLIN | BROKEN_EVENTS)
 
 
 def peer_closed(connection: socket.socket) -> bool:
-    """Whether the peer has shut down its sending side, or the connection is broken."""
+    """Whether the remote side has shut down sending, or the connection is broken."""
     return _has_events(connection, select.POLLRDHUP | BROKEN_EVENTS)
 
 
 def receive_before(connection: socket.socket, buffer: Buffer, deadline: float) -> int:
     """Read once into the buffer; returns the number of bytes, 0 at the end of the stream.
 
-    Raises `TimeoutError` once the deadline (on the clock of `time.monotonic`) has passed and nothing waits to
-    be read. What has come counts, however late this process looks: after a standstill time-outs fire first.
+    Raises `TimeoutError` once the deadline (in `time.monotonic` seconds) has passed and there is nothing to
+    read. Data that arrived in time is read even if this process was suspended past the deadline; in that case
+    timeouts fire before the socket is read.
     """
     while True:
         remaining = deadline - time.monotonic()
         if remaining <= 0.0 and nothing_to_read(connection):
-            raise TimeoutError("nothing came by the deadline")
+            raise TimeoutError("no data received before the deadline")
         connection.settimeout(max(MIN_TIMEOUT, remaining))
         try:
             return buffer.receive(connection)
@@ -95,10 +96,10 @@
 
 
 def raise_if_connection_timed_out(error: TimeoutError) -> None:
-    """Raise `ConnectionResetError` for the system's ETIMEDOUT, which Python tells by the same type.
+    """Raise `ConnectionResetError` for the system's ETIMEDOUT, which Python also reports as `TimeoutError`.
 
-    Our own time-out has no number. A connection that the system has timed out is broken for good: who waits
-    on for its answer would read the same error over and over.
+    The socket's own timeout has no errno. A connection that the system has timed out is broken for good:
+    another read would return the same error again.
     """
     if error.errno is not None:
         raise ConnectionResetError(error.errno, error.strerror) from None
