--- a/benchmarks/list_reader.py
+++ b/benchmarks/list_reader.py
@@ -34,12 +34,12 @@
     reader = ListReader(decision_settings(world, 0))
     gc.collect()
     tracemalloc.start()
-    reader.update(json.loads(document))
+    reader.parse_update(json.loads(document))
     gc.collect()
     kept, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     began = time.process_time()
-    reader.update(json.loads(document))
+    reader.parse_update(json.loads(document))
     return {
         "list-reader-memory": kept,
         "list-reader-peak": peak,
--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -29,7 +29,7 @@
 from irisstack.lab.scale.results import Point, Slope, mean, write
 from irisstack.lab.scale.settings_fleet import MEMBERS, Document, FleetSize, encoded, key_of
 from irisstack.lab.standins.etcd_server import EtcdServer
-from irisstack.node.config import host_port
+from irisstack.node.config import parse_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.settings_watch import SettingsWatch
 
@@ -143,7 +143,7 @@
 def run_nodes(arguments: argparse.Namespace) -> None:
     """Run so many nodes until standard input ends; each line is answered with what came of them so far."""
     logs.configure(stream=open(os.devnull, "w"))  # noqa: SIM115  # written to until the process ends
-    members = [host_port(address, "members") for address in arguments.members.split(",")]
+    members = [parse_host_port(address, "members") for address in arguments.members.split(",")]
     applied, counters, before = Applied(), Counters(), usage()
     with tempfile.TemporaryDirectory() as folder:
         for number in range(arguments.count):
--- a/irisstack/cli/settings.py
+++ b/irisstack/cli/settings.py
@@ -60,7 +60,7 @@
 
     config, items = _config(node_file), _items(file)
     try:
-        settings_publisher.check(config, items)
+        settings_publisher.check_document(config, items)
     except SettingsError as error:
         output.fail(f"{file}: {error}")
     click.echo(f"{file}: a good document of {len(items)} items")
@@ -78,7 +78,7 @@
     try:
         publisher = _publisher(config)
         before = publisher.read()
-        settings_publisher.check(config, items, before)
+        settings_publisher.check_document(config, items, before)
         revision = publisher.publish(before, items)
     except SettingsError as error:
         output.fail(f"{file}: {error}")
@@ -110,14 +110,14 @@
 
 
 def _items(file: Path) -> dict[str, Any]:
-    from irisstack.node.config import form, parse
+    from irisstack.node.config import file_format, parse_file
 
     try:
-        items = parse(file)
+        items = parse_file(file)
     except OSError as error:
         output.fail(f"{file} cannot be read: {error.strerror}")
     except (ValueError, RecursionError) as error:
-        output.fail(f"{file} holds no {form(file)}: {error}")
+        output.fail(f"{file} holds no {file_format(file)}: {error}")
     if not isinstance(items, dict):
         output.fail(f"{file}: an object of values by path is due")
     return items
--- a/irisstack/lab/capacity/targets.py
+++ b/irisstack/lab/capacity/targets.py
@@ -39,7 +39,7 @@
 """`MAX_LIST` of `irisstack/node/http.py`: a whole list above it is refused. Tests compare such copies."""
 
 LIST_SILENCE_S = 3.5
-"""`SILENCE` of `irisstack/node/list_call.py`: a call for the list that has no whole object by then ends."""
+"""`SILENCE_TIMEOUT_S` of `irisstack/node/list_call.py`: a list call without a whole object by then ends."""
 LIST_NEWS_WITHIN_S = 6.0
 """News of the list is due at a node by then (docs/design.md, 12)."""
 REQUEST_WHOLE_BY_S = 2.5
--- a/irisstack/node/config.py
+++ b/irisstack/node/config.py
@@ -61,7 +61,7 @@
     """None where settings wait for a restart."""
 
 
-def host_port(text: str, key: str) -> HostPort:
+def parse_host_port(text: str, key: str) -> HostPort:
     """Split `host:port`; the host is an address, since nothing here looks names up."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -69,34 +69,34 @@
     return host, int(port)
 
 
-def name_of(peer: HostPort) -> str:
+def format_host_port(peer: HostPort) -> str:
     """`host:port`, as a header or a line of the log names it."""
     host, port = peer
     return f"{host}:{port}"
 
 
-def peer_of(address: Address) -> HostPort:
+def to_host_port(address: Address) -> HostPort:
     """An endpoint's address as one connects to it."""
     host, port = address
     return socket.inet_ntoa(host), port
 
 
-def form(path: Path) -> str:
+def file_format(path: Path) -> str:
     """How a configuration file is written: people write TOML, the platform JSON."""
     return "TOML" if path.suffix == ".toml" else "JSON"
 
 
-def parse(path: Path) -> Any:
+def parse_file(path: Path) -> Any:
     """What the file holds; raises `OSError` or `ValueError`."""
     data = path.read_bytes()
-    if form(path) == "JSON":
+    if file_format(path) == "JSON":
         return json.loads(data)
     import tomllib  # only a file of this form pays for it
 
     return tomllib.loads(data.decode())
 
 
-def load(environment: Mapping[str, str] = os.environ, *, anew: bool = False) -> Config:
+def load(environment: Mapping[str, str] = os.environ, *, reload: bool = False) -> Config:
     """The configuration from `RELAY_CONFIG` and the variables that stand above the file.
 
     Read anew by a running node, the file stands above `RELAY_DISCOVERY`: a process keeps the variables
@@ -106,11 +106,11 @@
     if not path:
         raise ConfigError("RELAY_CONFIG: the path of the configuration file is due")
     try:
-        raw = Reader(parse(Path(path)))
+        raw = Reader(parse_file(Path(path)))
         limits = raw.part("limits")
         known = {} if raw.value("known") is None else raw.value("known")
-        peers = tuple(host_port(peer, f"peers[{i}]") for i, peer in enumerate(raw.texts("peers")))
-        settings = with_peers(read(raw.part("settings")), peers)
+        peers = tuple(parse_host_port(peer, f"peers[{i}]") for i, peer in enumerate(raw.texts("peers")))
+        settings = disable_gossip_without_peers(read(raw.part("settings")), peers)
         Reader(known, raw.path("known"))
 
         def told(variable: str, key: str, default: str | None = None) -> str:
@@ -118,10 +118,10 @@
 
         config = Config(
             name=told("RELAY_NAME", "name", "node"),
-            listen=host_port(told("RELAY_LISTEN", "listen"), "listen"),
-            discovery=host_port(
+            listen=parse_host_port(told("RELAY_LISTEN", "listen"), "listen"),
+            discovery=parse_host_port(
                 raw.text("discovery")
-                if anew and raw.value("discovery") is not None
+                if reload and raw.value("discovery") is not None
                 else told("RELAY_DISCOVERY", "discovery"),
                 "discovery",
             ),
@@ -138,14 +138,14 @@
     except OSError as error:
         raise ConfigError(f"RELAY_CONFIG: {path} cannot be read: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"RELAY_CONFIG: {path} holds no {form(Path(path))}: {error}") from None
+        raise ConfigError(f"RELAY_CONFIG: {path} holds no {file_format(Path(path))}: {error}") from None
     except SettingsError as error:
         raise ConfigError(str(error)) from None
     _check(config)
     return config
 
 
-def with_peers(settings: Settings, peers: tuple[HostPort, ...]) -> Settings:
+def disable_gossip_without_peers(settings: Settings, peers: tuple[HostPort, ...]) -> Settings:
     """Without the other nodes' places notes would reach nobody, so that nothing may count on them."""
     return settings if peers else replace(settings, may_tell_peers=False)
 
@@ -171,7 +171,8 @@
         )
     part = raw.part("dynamic_settings")
     members = tuple(
-        host_port(member, f"{part.path('members')}[{i}]") for i, member in enumerate(part.texts("members"))
+        parse_host_port(member, f"{part.path('members')}[{i}]")
+        for i, member in enumerate(part.texts("members"))
     )
     if not members:
         raise SettingsError(f"{part.path('members')}: at least one host:port is due")
--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -18,7 +18,7 @@
 
 from irisstack import interface as api
 from irisstack.choice import NOT_RUN, Sender
-from irisstack.node.config import name_of, peer_of
+from irisstack.node.config import format_host_port, to_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.endpoint import Call, CallOff, CloseIdle, Command, Ended, Hold, Outgoing
 from irisstack.node.mailbox import enlarge
@@ -368,7 +368,7 @@
             log.debug(
                 "attempt_ended",
                 id=entry.id,
-                endpoint=name_of(peer_of(ended.address)),
+                endpoint=format_host_port(to_host_port(ended.address)),
                 attempt=ended.attempt,
                 outcome=result.outcome.name,
                 reached=result.reached.name,
@@ -569,7 +569,7 @@
             log.debug(
                 "attempt_decided",
                 id=entry.id,
-                endpoint=name_of(peer_of(send.endpoint)),
+                endpoint=format_host_port(to_host_port(send.endpoint)),
                 attempt=entry.attempts,
             )
             due = self._clock.to_monotonic(entry.due)  # as accepted, whatever the wall clock did since
--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -12,18 +12,18 @@
 
 from irisstack import interface as api
 from irisstack.list_refresh import NEWS_DUE
-from irisstack.node.config import HostPort, name_of, peer_of
+from irisstack.node.config import HostPort, format_host_port, to_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.list_call import CallFailure, ListCall, Query
 from irisstack.node.list_reader import ListReader
 
-PAUSE = 0.08
+WATCH_RETRY_PAUSE_S = 0.08
 """Seconds, on average, until a watch that ended or is late is held anew, where the list comes unasked."""
-MOST_WATCHES = 4
+MAX_WATCHES = 4
 """Calls for a watch that may be out at once."""
-OLDEST_KEPT = 2
+OLDEST_WATCHES_KEPT = 2
 """Of these, so many of the oldest stay: a service that works through calls in turn comes to them first."""
-NEWS_DUE_AFTER_MOVE = 4.0
+NOTIFICATION_DEADLINE_AFTER_MOVE_S = 4.0
 """Seconds, in place of `NEWS_DUE`, after which news of the list counts as told once discovery has moved."""
 MOST_NAMED = 8
 """Endpoints that one line of the log names at most."""
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Moved:
+class AddressChanged:
     """Discovery is at another address from now on."""
 
     peer: HostPort
@@ -68,7 +68,7 @@
         self._watches: list[ListCall] = []
         self._fetch: ListCall | None = None
         self._wanted = False  # the module's last word on the watch
-        self.mailbox: Queue[api.Action | Moved] = Queue(64)
+        self.mailbox: Queue[api.Action | AddressChanged] = Queue(64)
 
     def run(self) -> None:
         """Follow the mailbox. Nothing is handed on from here: the way to the module may be full."""
@@ -85,7 +85,7 @@
                 case api.FetchEndpoints():
                     if self._fetch is None or not self._fetch.current:
                         self._begin_fetch()
-                case Moved(peer):
+                case AddressChanged(peer):
                     self._move(peer)
 
     def close(self) -> None:
@@ -113,14 +113,14 @@
         self._watches = [watch for watch in self._watches if not watch.ended]
         if any(watch.current for watch in self._watches):
             return
-        while len(self._watches) >= MOST_WATCHES:
+        while len(self._watches) >= MAX_WATCHES:
             self._end_one_watch()
         self._watches.append(self._begin(Query.WATCH))
 
     def _end_one_watch(self) -> None:
         """Make room for another: a silent watch goes, else the oldest call that need not stay."""
         silent = (watch for watch in self._watches if watch.answered)
-        watch = next(silent, self._watches[OLDEST_KEPT])
+        watch = next(silent, self._watches[OLDEST_WATCHES_KEPT])
         self._watches.remove(watch)
         watch.end()
 
@@ -141,7 +141,7 @@
         """
         self._peer, self._revision = peer, 0
         # What the new address has counts as told sooner, as if the list were older by the difference.
-        self._confirmed_at = time.monotonic() - (NEWS_DUE - NEWS_DUE_AFTER_MOVE)
+        self._confirmed_at = time.monotonic() - (NEWS_DUE - NOTIFICATION_DEADLINE_AFTER_MOVE_S)
         self._end_watches()
         if self._wanted:
             self._hold_watch()
@@ -164,7 +164,7 @@
 
     def on_object(self, call: ListCall, said: Any) -> None:
         """Hand on what one object says. Only then is it known: a watch ended meanwhile is told it again."""
-        update = self._reader.update(said)
+        update = self._reader.parse_update(said)
         not_offered = [e.address for e in update.endpoints if e.state is not api.EndpointState.READY]
         log.info(
             "list_updated",
@@ -172,7 +172,7 @@
             scope=update.scope.name,
             revision=update.version,
             lines=len(update.endpoints),
-            not_offered=[name_of(peer_of(address)) for address in not_offered[:MOST_NAMED]],
+            not_offered=[format_host_port(to_host_port(address)) for address in not_offered[:MOST_NAMED]],
         )
         self._post(update)
         self._revision = update.version
@@ -207,5 +207,5 @@
         )
         if self._pushed and call in self._watches:
             # What is had at the service's return counts as told at once, so it is looked for often.
-            gevent.sleep(random.uniform(0.5, 1.5) * PAUSE)
+            gevent.sleep(random.uniform(0.5, 1.5) * WATCH_RETRY_PAUSE_S)
             self.mailbox.put(api.Subscribe(True))
--- a/irisstack/node/endpoint.py
+++ b/irisstack/node/endpoint.py
@@ -16,7 +16,7 @@
 from irisstack.interface import Address
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.mailbox import enlarge
 from irisstack.node.results import (
@@ -225,7 +225,7 @@
         except (OSError, http.BadMessage) as error:
             ending, broken_by = Ending.BROKEN, name_of_error(error)
         except Exception as error:  # whatever it is, the messages' ends must be told
-            log.error("call_failed", peer=name_of(self._peer), error=repr(error))
+            log.error("call_failed", peer=format_host_port(self._peer), error=repr(error))
         call.over = True
         if answer is None and reached is Reached.WRITTEN and len(call.messages) == 1 and self._reader.says_ok:
             results = dict.fromkeys(ids, DELIVERED)
@@ -237,7 +237,11 @@
             results = answered_each(answer, ids, self._fields)
         if not keep:
             if self._socket is not None:
-                log.debug("connection_closed", peer=name_of(self._peer), reason=_close_reason(answer, ending))
+                log.debug(
+                    "connection_closed",
+                    peer=format_host_port(self._peer),
+                    reason=_close_reason(answer, ending),
+                )
             self.close()
         for message in call.messages:
             end(message, results[message.id])
@@ -268,7 +272,7 @@
                 for m in call.messages
             )
         self._socket.settimeout(min(left, max(0.001, call.leave_by - time.monotonic())))
-        self._socket.sendall(http.request("POST", path, name_of(self._peer), headers, body))
+        self._socket.sendall(http.request("POST", path, format_host_port(self._peer), headers, body))
 
     def _received_answer(self) -> http.Message | None:
         """The answer of a cancelled call, if all of it has been received."""
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -14,23 +14,23 @@
 from irisstack import list_refresh
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.objects import ObjectStream
 
-ANSWER_LATE = list_refresh.ANSWER_LATE
+ANSWER_OVERDUE_AFTER_S = list_refresh.ANSWER_LATE
 """Seconds from its begin after which a call without a word is late: another may be begun beside it."""
-COMING_LATE = 1.8
+PARTIAL_ANSWER_OVERDUE_AFTER_S = 1.8
 """The same for one whose bytes are coming."""
 COMING = 0.6
 """Seconds from a byte to the next for which they count as coming."""
-WORD_LATE = 2.6
+WATCH_OVERDUE_AFTER_S = 2.6
 """Seconds without a word after which a watch is late; one is due every 2 s.
 
 What is missed from the last word on has to be here 6 s later, also where the next call is late too.
 """
-SILENCE = 3.5
+SILENCE_TIMEOUT_S = 3.5
 """Seconds for a connect, and without a word of an answer that has begun, after which a call ends."""
-ANSWER_WITHIN = 120.0
+ANSWER_TIMEOUT_S = 120.0
 """Seconds without a byte after which a call ends.
 
 A service that works through calls in turn comes to this one sooner than to any that is made later.
@@ -132,9 +132,9 @@
 
     def _ask(self) -> str:
         """Make the call; returns why it failed or how a watch ended; empty for a fetch that was answered."""
-        self._connection = sockets.connect(self._peer, SILENCE)
+        self._connection = sockets.connect(self._peer, SILENCE_TIMEOUT_S)
         query = f"?watch=1&from={self._revision}" if self._query is Query.WATCH else ""
-        self._connection.sendall(http.request("GET", f"/v1/servers{query}", name_of(self._peer)))
+        self._connection.sendall(http.request("GET", f"/v1/servers{query}", format_host_port(self._peer)))
         if self._query is Query.WATCH:
             return f"ended with status {self._follow()}"
         answer = self._whole()
@@ -185,8 +185,8 @@
     def _ends_at(self) -> float:
         """When the call ends unless more comes."""
         if self._began_to_answer_at is None:
-            return self.began_at + ANSWER_WITHIN
-        return max(self._heard_at, self._began_to_answer_at) + SILENCE
+            return self.began_at + ANSWER_TIMEOUT_S
+        return max(self._heard_at, self._began_to_answer_at) + SILENCE_TIMEOUT_S
 
     def _tell(self, whole: bytes) -> None:
         if not self.ended:
@@ -220,9 +220,9 @@
     @property
     def _late_at(self) -> float:
         if self._answered:
-            return self._heard_at + WORD_LATE
+            return self._heard_at + WATCH_OVERDUE_AFTER_S
         coming = time.monotonic() < self._bytes_at + COMING
-        return self.began_at + (COMING_LATE if coming else ANSWER_LATE)
+        return self.began_at + (PARTIAL_ANSWER_OVERDUE_AFTER_S if coming else ANSWER_OVERDUE_AFTER_S)
 
     @property
     def _unread(self) -> bool:
--- a/irisstack/node/list_reader.py
+++ b/irisstack/node/list_reader.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from irisstack import interface as api
-from irisstack.node.config import host_port
+from irisstack.node.config import parse_host_port
 from irisstack.node.record_clock import RecordClock, resume
 
 STATES = {
@@ -26,19 +26,21 @@
     """The list's JSON as `EndpointsUpdated`; a line that cannot be read is logged and passed over."""
 
     def __init__(
-        self, settings: api.Settings, most_waiting: int = 0, clock: RecordClock | None = None
+        self, settings: api.Settings, max_waiting: int = 0, clock: RecordClock | None = None
     ) -> None:
         """`clock` is what the list's Unix times are read by; by default the wall clock as it is now."""
         self._clock = clock or resume(None)
         self._kinds = {kind.name: i for i, kind in enumerate(settings.kinds)}
-        self._most_waiting = most_waiting
+        self._max_waiting = max_waiting
         self._waiting: dict[str, Mapping[str, Any]] = {}  # lines of kinds not known yet, by id
         self._revision = 0
         self._zones = {name: i for i, name in enumerate(settings.zones)}
         self._known: dict[str, api.Endpoint] = {}  # by id, as last read
         self._owners: dict[api.Address, str] = {}  # the id that stands for each address
 
-    def update(self, raw: Mapping[str, Any], scope: api.UpdateScope | None = None) -> api.EndpointsUpdated:
+    def parse_update(
+        self, raw: Mapping[str, Any], scope: api.UpdateScope | None = None
+    ) -> api.EndpointsUpdated:
         """One object of discovery's; raises `ValueError` or `KeyError` if it is none."""
         revision, members = int(raw["revision"]), raw["members"]
         if scope is None:
@@ -53,7 +55,7 @@
             self._owners = {address: id_ for address, id_ in self._owners.items() if address in here}
         return api.EndpointsUpdated(scope, revision, tuple(endpoints))
 
-    def follow(self, settings: api.Settings) -> api.EndpointsUpdated | None:
+    def apply_settings(self, settings: api.Settings) -> api.EndpointsUpdated | None:
         """Go by other settings; returns what can be read now of the lines that waited for their kind."""
         self._kinds = {kind.name: i for i, kind in enumerate(settings.kinds)}
         for i, name in enumerate(settings.zones):
@@ -90,7 +92,7 @@
 
     def _waits(self, member: Mapping[str, Any]) -> bool:
         """Whether a line is kept until its kind is known; the newest of each id counts."""
-        if not self._most_waiting:
+        if not self._max_waiting:
             return False
         id_, state = str(member["id"]), STATES[member["phase"]]
         self._waiting.pop(id_, None)
@@ -98,7 +100,7 @@
             return False
         if id_ in self._known and state is not api.EndpointState.READY:
             return False
-        if len(self._waiting) >= self._most_waiting:
+        if len(self._waiting) >= self._max_waiting:
             return False
         self._waiting[id_] = member
         log.info("list_line_waits_for_its_kind", id=id_, kind=member["flavor"])
@@ -115,7 +117,7 @@
         if state is api.EndpointState.GONE and "host_port" not in member and known is not None:
             address = known.address
         else:
-            host, port = host_port(member["host_port"], "host_port")
+            host, port = parse_host_port(member["host_port"], "host_port")
             address = (socket.inet_aton(host), port)
         since = float(member.get("up_since_ms", 0)) / 1000.0
         return api.Endpoint(
--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -15,7 +15,7 @@
 from irisstack.dynamic_settings.merge import check_restart, definitions_of_gone, merge
 from irisstack.dynamic_settings.values import check_values
 from irisstack.interface import Settings
-from irisstack.node.config import HostPort, with_peers
+from irisstack.node.config import HostPort, disable_gossip_without_peers
 from irisstack.settings import Reader, SettingsError, read
 
 log = structlog.get_logger()
@@ -28,7 +28,7 @@
         """`most_calls` is what the limits leave descriptors for; raises `SettingsError` for a bad file."""
         self._base = base
         self._peers = peers
-        own = with_peers(read(Reader(base)), peers)
+        own = disable_gossip_without_peers(read(Reader(base)), peers)
         # What the file itself asks for is the operators' own choice, as without these settings.
         self._most_calls = max(own.max_calls, most_calls)
         self._own = self._read(base)
@@ -64,7 +64,7 @@
             return error
 
     def _read(self, document: Mapping[str, Any]) -> Settings:
-        settings = with_peers(read(Reader(document)), self._peers)
+        settings = disable_gossip_without_peers(read(Reader(document)), self._peers)
         check_values(settings)
         if settings.max_calls > self._most_calls:
             raise SettingsError(
--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -19,7 +19,7 @@
 from irisstack.dynamic_settings.events import FailureKind
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.objects import ObjectStream
 
 RECEIVE_BUFFER_BYTES = 16 * 1024
@@ -150,7 +150,7 @@
         except OSError as error:
             raise CallError(FailureKind.UNREACHABLE, str(error)) from None
         headers = [("Content-Type", "application/json")]
-        data = http.request("POST", path, name_of(self._peer), headers, body)
+        data = http.request("POST", path, format_host_port(self._peer), headers, body)
         connection.settimeout(ANSWER_TIMEOUT_S)
         connection.sendall(data)
         self._budget.spend(time.monotonic(), len(data))
--- a/irisstack/node/notices.py
+++ b/irisstack/node/notices.py
@@ -11,7 +11,7 @@
 
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.store import Entry, Store
 
@@ -101,7 +101,9 @@
                 raise ConnectionAbortedError("the platform has moved")
             connection.settimeout(max(0.001, deadline - time.monotonic()))
             connection.sendall(
-                http.request("POST", "/reports", name_of(peer), [("Content-Type", "application/json")], body)
+                http.request(
+                    "POST", "/reports", format_host_port(peer), [("Content-Type", "application/json")], body
+                )
             )
             while (answer := reader.advance(buffer)) is None:
                 if not sockets.receive_before(connection, buffer, deadline):
--- a/irisstack/node/peers.py
+++ b/irisstack/node/peers.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from irisstack import interface as api
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 
 MAX_DATAGRAM = 256
@@ -71,7 +71,7 @@
                 self._counters.add("notes_told")
             except OSError as error:
                 self._counters.add("notes_untold")
-                log.debug("note_untold", peer=name_of(to), error=error.strerror)
+                log.debug("note_untold", peer=format_host_port(to), error=error.strerror)
 
     def close(self) -> None:
         self._socket.close()
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -16,10 +16,10 @@
 from irisstack import interface as api
 from irisstack.common import logs
 from irisstack.node import sockets
-from irisstack.node.config import Config, ConfigError, DynamicSettings, load, name_of, peer_of
+from irisstack.node.config import Config, ConfigError, DynamicSettings, format_host_port, load, to_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.decider import Decider, NewSettings
-from irisstack.node.discovery import Discovery, Moved
+from irisstack.node.discovery import AddressChanged, Discovery
 from irisstack.node.endpoint import Call, ChangeTerms, Command, Endpoint, Retire
 from irisstack.node.intake import Intake, Stage
 from irisstack.node.list_reader import ListReader
@@ -72,8 +72,8 @@
             self._start_dynamic_settings(config.dynamic_settings)
         settings = self._settings = config.settings if self._live is None else self._live.in_force.settings
         self._notices = Notices(config.discovery, self._store, self.counters)
-        most_waiting = 0 if self._live is None else MOST_WAITING_LINES
-        self._reader = ListReader(settings, most_waiting, self._store.clock)
+        max_waiting = 0 if self._live is None else MOST_WAITING_LINES
+        self._reader = ListReader(settings, max_waiting, self._store.clock)
         known = self._known(self._reader)
         self._discovery = Discovery(
             config.discovery,
@@ -114,7 +114,7 @@
     def _known(self, reader: ListReader) -> api.EndpointsUpdated:
         empty = {"revision": 0, "members": []}
         try:
-            return reader.update({**empty, **self._config.known}, api.UpdateScope.CACHED)
+            return reader.parse_update({**empty, **self._config.known}, api.UpdateScope.CACHED)
         except (ValueError, KeyError, TypeError):
             raise ConfigError("known: no list of endpoints") from None
 
@@ -129,15 +129,15 @@
                 runs.append(self._settings_watch.run)
             sockets.persist(self._intake.start, LISTEN_WITHIN)
         except OSError as error:
-            raise ConfigError(f"listen: {name_of(self._config.listen)}: {error.strerror}") from None
+            raise ConfigError(f"listen: {format_host_port(self._config.listen)}: {error.strerror}") from None
         parts = [gevent.spawn(run) for run in runs]
         for part in parts:
             part.link_exception(self._broken)
         log.info(
             "serving",
             name=self._config.name,
-            listen=name_of(self._config.listen),
-            discovery=name_of(self._config.discovery),
+            listen=format_host_port(self._config.listen),
+            discovery=format_host_port(self._config.discovery),
             **self.counters.snapshot(),
         )
         self._stop.wait()
@@ -152,7 +152,7 @@
             self._reread.wait()
             self._reread.clear()
             try:
-                new = load(anew=True)
+                new = load(reload=True)
             except ConfigError as error:
                 log.error("configuration_not_taken", error=str(error))
                 continue
@@ -160,7 +160,7 @@
                 log.error("configuration_not_taken", error=repr(error))
                 continue
             if new.discovery != self._config.discovery:
-                self._discovery.mailbox.put(Moved(new.discovery))
+                self._discovery.mailbox.put(AddressChanged(new.discovery))
                 self._notices.move(new.discovery)
             waiting = [
                 field.name
@@ -168,7 +168,7 @@
                 if field.name not in FOLLOWED
                 and getattr(new, field.name) != getattr(self._config, field.name)
             ]
-            log.info("configuration_taken", discovery=name_of(new.discovery), await_restart=waiting)
+            log.info("configuration_taken", discovery=format_host_port(new.discovery), await_restart=waiting)
             self._config = replace(self._config, discovery=new.discovery)
 
     def _broken(self, part: "gevent.Greenlet[..., None]") -> None:
@@ -230,7 +230,7 @@
             self._retire(self._endpoints.pop(address))
 
     def _retire(self, endpoint: Endpoint) -> None:
-        log.info("endpoint_retired", endpoint=name_of(peer_of(endpoint.address)))
+        log.info("endpoint_retired", endpoint=format_host_port(to_host_port(endpoint.address)))
         endpoint.mailbox.put(Retire())
         self._retired = [*(old for old in self._retired if not old.worker.dead), endpoint]
 
@@ -246,7 +246,7 @@
     def _start_endpoint(self, address: api.Address) -> Endpoint:
         endpoint = Endpoint(
             address,
-            peer_of(address),
+            to_host_port(address),
             self._decider.mailbox.put,
             self._store,
             self.counters,
@@ -328,7 +328,7 @@
             self._accept_settings,
             self.counters,
             # Nodes that were given one seed, or none, must not all ask one member at one time.
-            zlib.crc32(f"{config.name} {name_of(config.listen)} {config.seed}".encode()),
+            zlib.crc32(f"{config.name} {format_host_port(config.listen)} {config.seed}".encode()),
         )
 
     def _check_settings(self, items: Mapping[str, Any]) -> "AcceptedSettings":
@@ -361,7 +361,7 @@
         settings = self._settings = new.settings
         self._intake.offer(settings, new.classes, new.tenants)
         self._decider.make_room(self._mailbox_room(settings))
-        update = self._reader.follow(settings)
+        update = self._reader.apply_settings(settings)
         if update is not None:
             self._follow(update)
         terms = ChangeTerms(
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -14,7 +14,7 @@
 from irisstack.dynamic_settings.events import FailureKind
 from irisstack.dynamic_settings.items import StreamItems, TooLarge
 from irisstack.dynamic_settings.pages import SnapshotPages
-from irisstack.node.config import Config, HostPort, name_of
+from irisstack.node.config import Config, HostPort, format_host_port
 from irisstack.node.live_settings import LiveSettings
 from irisstack.node.member_call import CallError, MemberCall
 from irisstack.node.service import OWN_DESCRIPTORS
@@ -102,7 +102,7 @@
             try:
                 return _call(member, lambda call: call.ask_range(pages.request()))
             except CallError as error:
-                failures.append(f"{name_of(member)}: {error}")
+                failures.append(f"{format_host_port(member)}: {error}")
         raise PublishError("no member answers: " + "; ".join(failures))
 
     def _write(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
@@ -112,11 +112,13 @@
                 return _call(member, lambda call: call.ask_txn(request))
             except CallError as error:
                 if error.kind is not FailureKind.UNREACHABLE:
-                    raise PublishError(f"it may have been written: {name_of(member)}: {error}") from None
+                    raise PublishError(
+                        f"it may have been written: {format_host_port(member)}: {error}"
+                    ) from None
         raise PublishError("no member is reached; nothing is written")
 
 
-def check(config: Config, items: Mapping[str, Any], before: PublishedDocument | None = None) -> None:
+def check_document(config: Config, items: Mapping[str, Any], before: PublishedDocument | None = None) -> None:
     """Check a document as a node of this configuration does; raises `SettingsError`.
 
     With what is published now it is also checked whether one may follow the other.
--- a/irisstack/node/settings_watch.py
+++ b/irisstack/node/settings_watch.py
@@ -31,7 +31,7 @@
     WatchAnswered,
 )
 from irisstack.dynamic_settings.snapshot import SavedSettings, SnapshotFile
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.member_call import CallError, MemberCall
 from irisstack.settings import SettingsError
@@ -77,7 +77,7 @@
         counters: Counters,
         seed: int,
     ) -> None:
-        self._members = {name_of(member): member for member in members}
+        self._members = {format_host_port(member): member for member in members}
         self._prefix = prefix.encode()
         self._saved_file = saved
         self._check = check
--- a/tests/lab/capacity/test_fit.py
+++ b/tests/lab/capacity/test_fit.py
@@ -74,7 +74,7 @@
 
 def test_copies_of_the_nodes_constants_agree_with_them() -> None:
     assert targets.LIST_BYTES_LIMIT == http.MAX_LIST
-    assert targets.LIST_SILENCE_S == list_call.SILENCE
+    assert targets.LIST_SILENCE_S == list_call.SILENCE_TIMEOUT_S
     assert targets.REQUEST_WHOLE_BY_S == intake.WHOLE_BY
 
 
--- a/tests/lab/scale/test_list_service.py
+++ b/tests/lab/scale/test_list_service.py
@@ -37,13 +37,13 @@
 
 
 def test_its_times_are_those_of_the_real_node() -> None:
-    assert list_client.SILENCE_S == list_call.SILENCE
-    assert list_client.ANSWER_WITHIN_S == list_call.ANSWER_WITHIN
-    assert list_client.MOST_WATCHES == discovery.MOST_WATCHES
-    assert list_client.OLDEST_KEPT == discovery.OLDEST_KEPT
-    assert list_client.ANSWER_LATE_S == list_call.ANSWER_LATE
-    assert list_client.WORD_LATE_S == list_call.WORD_LATE
-    assert list_client.PUSHED_PAUSE_S == discovery.PAUSE
+    assert list_client.SILENCE_S == list_call.SILENCE_TIMEOUT_S
+    assert list_client.ANSWER_WITHIN_S == list_call.ANSWER_TIMEOUT_S
+    assert list_client.MOST_WATCHES == discovery.MAX_WATCHES
+    assert list_client.OLDEST_KEPT == discovery.OLDEST_WATCHES_KEPT
+    assert list_client.ANSWER_OVERDUE_AFTER_S == list_call.ANSWER_OVERDUE_AFTER_S
+    assert list_client.WORD_LATE_S == list_call.WATCH_OVERDUE_AFTER_S
+    assert list_client.PUSHED_PAUSE_S == discovery.WATCH_RETRY_PAUSE_S
 
 
 def test_calls_are_worked_through_in_turn() -> None:
--- a/tests/node/fault_soak.py
+++ b/tests/node/fault_soak.py
@@ -32,7 +32,7 @@
     Received,
     audit,
 )
-from tests.node.soak_discovery import Drainer, SoakDiscovery
+from tests.node.soak_discovery import DrainInjector, SoakDiscovery
 from tests.node_support import EndpointPeer, Node, PlatformPeer, message, raw
 
 PLAY_S = 12.0
@@ -301,7 +301,7 @@
     ):
         notices = _Platform(result, discovery)
         notices.start()
-        drainer = Drainer(result, discovery, 2, discovery.members[1])
+        drainer = DrainInjector(result, discovery, 2, discovery.members[1])
         drainer.start()
         until = time.monotonic() + PLAY_S
         clients = [_Client(result, node, number, until) for number in range(CLIENTS)]
--- a/tests/node/list_support.py
+++ b/tests/node/list_support.py
@@ -152,7 +152,7 @@
         self._sender = Sender(settings, seed)
         self.discovery = Discovery(("127.0.0.1", service.port), reader, self._post, 1, pushed)
         self._greenlets: list[gevent.Greenlet[..., None]] = [gevent.spawn(self.discovery.run)]
-        self._turn(reader.update(service.document(), api.UpdateScope.CACHED))
+        self._turn(reader.parse_update(service.document(), api.UpdateScope.CACHED))
 
     def on_update(self, update: api.EndpointsUpdated) -> None:
         """The list, a change of it, or the failure of a call has been heard."""
--- a/tests/node/settings_support.py
+++ b/tests/node/settings_support.py
@@ -23,7 +23,7 @@
 """The classes of the node's file, by name."""
 
 
-def lanes(*names: str, **others: Mapping[str, Any]) -> dict[str, Any]:
+def lane_items(*names: str, **others: Mapping[str, Any]) -> dict[str, Any]:
     """Items of these classes of the file, and of others."""
     return {f"lanes/{name}": lane for name, lane in [*((n, LANES[n]) for n in names), *others.items()]}
 
@@ -69,13 +69,13 @@
         self._thread.join()
 
 
-def logged(node: Node, event: str) -> list[dict[str, Any]]:
+def logged_events(node: Node, event: str) -> list[dict[str, Any]]:
     """The node's lines of this event, of all of its lives."""
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
-def in_force(node: Node, revision: int) -> None:
+def wait_until_in_force(node: Node, revision: int) -> None:
     """Wait until a revision, or a later one, is in force in this life of the node."""
 
     def reached() -> bool:
@@ -91,7 +91,7 @@
 
 
 @contextlib.contextmanager
-def changing(
+def dynamic_settings_node(
     folder: Path, *endpoints: EndpointPeer, start: bool = True, **raw: Any
 ) -> Iterator[tuple[Node, PlatformPeer, SettingsCluster]]:
     """A node that follows a cluster, which has published nothing yet; the endpoints are of destination 1."""
--- a/tests/node/soak_discovery.py
+++ b/tests/node/soak_discovery.py
@@ -51,7 +51,7 @@
     return fates
 
 
-class Drainer(threading.Thread):
+class DrainInjector(threading.Thread):
     """Takes one endpoint off the list and puts it back, over and over."""
 
     def __init__(self, play: Play, discovery: SoakDiscovery, number: int, line: dict[str, Any]) -> None:
--- a/tests/node/test_list_age.py
+++ b/tests/node/test_list_age.py
@@ -22,8 +22,8 @@
 import gevent
 
 from irisstack import interface as api
-from irisstack.node.discovery import Moved
-from irisstack.node.list_call import ANSWER_LATE
+from irisstack.node.discovery import AddressChanged
+from irisstack.node.list_call import ANSWER_OVERDUE_AFTER_S
 from tests.node.list_support import CallFate, ListFollower, ScriptedDiscovery, TimedPeer, settings_for
 from tests.node_support import EndpointPeer, Node, eventually, running
 
@@ -178,12 +178,12 @@
         for follower, service in elsewhere.items():
             service.members = [{**line, "phase": "DRAINING"} for line in follower.service.members]
             follower.had_at = time.monotonic()
-            follower.discovery.mailbox.put(Moved(("127.0.0.1", service.port)))
+            follower.discovery.mailbox.put(AddressChanged(("127.0.0.1", service.port)))
         gevent.sleep(TOLD_AFTER_MOVE_S + 2.0)
         waits = [round(each.told_at - each.had_at, 3) for each in followers]
     finally:
         for follower, service in elsewhere.items():
             follower.close()
             service.close()
-    assert min(waits) > 2.0 * ANSWER_LATE
+    assert min(waits) > 2.0 * ANSWER_OVERDUE_AFTER_S
     assert max(waits) <= TOLD_AFTER_MOVE_S + GRACE_S - STANDSTILL_S
--- a/tests/node/test_list_clock.py
+++ b/tests/node/test_list_clock.py
@@ -13,8 +13,8 @@
 
 from irisstack import interface as api
 from irisstack.node import list_call
-from irisstack.node.discovery import PAUSE, Discovery, Moved
-from irisstack.node.list_call import COMING_LATE, SILENCE, WORD_LATE
+from irisstack.node.discovery import WATCH_RETRY_PAUSE_S, AddressChanged, Discovery
+from irisstack.node.list_call import PARTIAL_ANSWER_OVERDUE_AFTER_S, SILENCE_TIMEOUT_S, WATCH_OVERDUE_AFTER_S
 from irisstack.node.list_reader import ListReader
 from irisstack.settings import Reader, read
 from tests.node.support import listening, until
@@ -73,7 +73,7 @@
     with suppress(OSError):
         for byte in data:
             connection.sendall(bytes([byte]))
-            gevent.sleep(list_call.SILENCE / 10)
+            gevent.sleep(list_call.SILENCE_TIMEOUT_S / 10)
 
 
 ENDLESS = b'{"revision": 5, "members": ["' + b"x" * 100_000
@@ -94,7 +94,7 @@
 def test_a_call_that_falls_silent_is_given_up_however_its_bytes_trickle(
     monkeypatch: pytest.MonkeyPatch, at_once: bytes, then: bytes, watch: bool
 ) -> None:
-    monkeypatch.setattr(list_call, "SILENCE", 0.3)
+    monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", 0.3)
     told: list[api.EndpointsUpdated] = []
     with follower(told.append) as (part, server):
         part.mailbox.put(api.Subscribe(True) if watch else api.FetchEndpoints())
@@ -104,13 +104,13 @@
             feeding = gevent.spawn(trickle, connection, then)
             failed = until(lambda: told and told[-1].scope is api.UpdateScope.FAILED and told[-1])
             feeding.kill()
-        assert failed.unheard >= list_call.SILENCE
+        assert failed.unheard >= list_call.SILENCE_TIMEOUT_S
         part.mailbox.put(api.Subscribe(True) if watch else api.FetchEndpoints())
         accept(server)[0].close()  # nothing keeps the next call from starting
 
 
 def test_empty_lines_and_objects_keep_a_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(list_call, "SILENCE", 0.3)
+    monkeypatch.setattr(list_call, "SILENCE_TIMEOUT_S", 0.3)
     told: list[api.EndpointsUpdated] = []
     with follower(told.append) as (part, server):
         part.mailbox.put(api.Subscribe(True))
@@ -139,14 +139,14 @@
 
 def test_nor_did_one_that_is_late_and_has_reached_nobody_yet(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection that does not come up costs the service nothing, however long it is waited for."""
-    monkeypatch.setattr(list_call, "ANSWER_LATE", 0.3)
+    monkeypatch.setattr(list_call, "ANSWER_OVERDUE_AFTER_S", 0.3)
     monkeypatch.setattr("irisstack.node.sockets.connect", lambda *_: gevent.sleep(60.0))
     told: list[api.EndpointsUpdated] = []
     with follower(told.append) as (part, _):
         part.mailbox.put(api.Subscribe(True))
         until(lambda: told)
     assert told[0].unheard == 0.0
-    assert told[0].list_age >= list_call.ANSWER_LATE
+    assert told[0].list_age >= list_call.ANSWER_OVERDUE_AFTER_S
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -213,7 +213,7 @@
         part.mailbox.put(api.Subscribe(True))
         accept(server)[0].close()
         until(lambda: told)
-        part.mailbox.put(Moved(elsewhere.getsockname()))
+        part.mailbox.put(AddressChanged(elsewhere.getsockname()))
         connection, request = accept(elsewhere)
         assert b"from=0 " in request
         part.mailbox.put(api.Subscribe(True))
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("senders", [2, 20, 200])
-@pytest.mark.parametrize("unheard", [0.0, 0.1, 1.0, SILENCE])
+@pytest.mark.parametrize("unheard", [0.0, 0.1, 1.0, SILENCE_TIMEOUT_S])
 def test_news_that_a_call_missed_is_asked_for_in_time(senders: int, unheard: float) -> None:
     """Due 6 s after the service had it and could be reached; here over the first failure of many senders."""
     waits = []
@@ -324,4 +324,11 @@
 
 def test_where_the_list_comes_unasked_a_silent_watch_is_made_good_in_time() -> None:
     """Also where the call that takes its place is late, and each pause is the longest that is drawn."""
-    assert WORD_LATE + 1.5 * PAUSE + COMING_LATE + 1.5 * PAUSE + ANSWER < 6.0
+    assert (
+        WATCH_OVERDUE_AFTER_S
+        + 1.5 * WATCH_RETRY_PAUSE_S
+        + PARTIAL_ANSWER_OVERDUE_AFTER_S
+        + 1.5 * WATCH_RETRY_PAUSE_S
+        + ANSWER
+        < 6.0
+    )
--- a/tests/node/test_list_reader.py
+++ b/tests/node/test_list_reader.py
@@ -39,17 +39,19 @@
         lines = {what: {**KNOWN, **spoilt, "phase": phase} for what, spoilt in SPOILT.items()}
         lines["nothing else"] = {"id": KNOWN["id"], "phase": phase}
         for what, line in lines.items():
-            for most_waiting in (0, 10):
-                reader = ListReader(read(Reader(SETTINGS)), most_waiting)
-                (known,) = reader.update({"revision": 5, "complete": True, "members": [KNOWN]}).endpoints
-                told = reader.update(change(**line)).endpoints
+            for max_waiting in (0, 10):
+                reader = ListReader(read(Reader(SETTINGS)), max_waiting)
+                (known,) = reader.parse_update(
+                    {"revision": 5, "complete": True, "members": [KNOWN]}
+                ).endpoints
+                told = reader.parse_update(change(**line)).endpoints
                 if [(each.address, each.state) for each in told] != [(known.address, state)]:
-                    unheeded.append((phase, what, most_waiting))
+                    unheeded.append((phase, what, max_waiting))
     assert unheeded == []
 
 
 def test_a_spoilt_line_of_an_endpoint_that_serves_leaves_it_as_it_was() -> None:
     for spoilt in SPOILT.values():
         reader = ListReader(read(Reader(SETTINGS)))
-        reader.update({"revision": 5, "complete": True, "members": [KNOWN]})
-        assert reader.update(change(**{**KNOWN, **spoilt})).endpoints == ()
+        reader.parse_update({"revision": 5, "complete": True, "members": [KNOWN]})
+        assert reader.parse_update(change(**{**KNOWN, **spoilt})).endpoints == ()
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -10,7 +10,13 @@
 
 import pytest
 
-from tests.node.settings_support import LANES, changing, in_force, lanes, logged
+from tests.node.settings_support import (
+    LANES,
+    dynamic_settings_node,
+    lane_items,
+    logged_events,
+    wait_until_in_force,
+)
 from tests.node_support import SETTINGS, EndpointPeer, Node, eventually, raw, scene
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -30,9 +36,9 @@
 
 def test_a_new_class_is_offered_while_the_node_runs(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path, partner) as (node, _, cluster):
+    with dynamic_settings_node(tmp_path, partner) as (node, _, cluster):
         assert node.hand_in("m1", "more").status == 404
-        in_force(node, cluster.publish(lanes("safe", "keyed", "unsafe", more=MORE)))
+        wait_until_in_force(node, cluster.publish(lane_items("safe", "keyed", "unsafe", more=MORE)))
         assert node.hand_in("m2", "more").status == 202
         assert node.hand_in("m3", "safe").status == 202
         delivered(node, 2)
@@ -41,7 +47,7 @@
 
 def test_without_a_cluster_the_node_serves_by_its_file(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path, partner) as (node, _, cluster):
+    with dynamic_settings_node(tmp_path, partner) as (node, _, cluster):
         cluster.stop()
         assert node.hand_in("m1", "keyed").status == 202
         delivered(node, 1)
@@ -52,16 +58,16 @@
     tmp_path: Path, killed: bool
 ) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
         for id_ in ("m1", "m2"):  # no endpoint yet: they wait
             assert node.hand_in(id_, "keyed").status == 202
-        in_force(node, cluster.publish(lanes("safe")))
+        wait_until_in_force(node, cluster.publish(lane_items("safe")))
         assert node.hand_in("m3", "keyed").status == 404
         assert saved(node)["retired"].keys() == {"lanes/keyed", "lanes/unsafe"}
         if killed:
             node.kill()
             node.start()
-            in_force(node, 1)
+            wait_until_in_force(node, 1)
             assert saved(node)["retired"].keys() == {"lanes/keyed"}, "only what is owed under is kept"
             assert node.hand_in("m3", "keyed").status == 404
         platform.change(platform.list(partner, 1))
@@ -70,7 +76,7 @@
         assert not platform.notices
         node.kill()
         node.start()
-        in_force(node, 1)
+        wait_until_in_force(node, 1)
         assert saved(node)["retired"] == {}, "nothing is owed any more"
         partner.close()
 
@@ -78,11 +84,11 @@
 @pytest.mark.parametrize("killed", [False, True], ids=["running", "killed"])
 def test_a_class_that_went_with_a_repeat_pending_keeps_its_terms(tmp_path: Path, killed: bool) -> None:
     first = EndpointPeer(RESET)
-    with changing(tmp_path, first) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path, first) as (node, platform, cluster):
         assert node.hand_in("m1", "keyed").status == 202
         assert node.hand_in("m2", "unsafe").status == 202
         eventually(lambda: first.calls_with("m1") and first.calls_with("m2"), "a call of each")
-        in_force(node, cluster.publish(lanes("safe")))
+        wait_until_in_force(node, cluster.publish(lane_items("safe")))
         if killed:
             node.kill()
             node.start()
@@ -97,10 +103,10 @@
 
 def test_a_call_that_is_out_as_its_class_goes_ends_as_ever(tmp_path: Path) -> None:
     partner = EndpointPeer(None)
-    with changing(tmp_path, partner) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path, partner) as (node, platform, cluster):
         assert node.hand_in("m1", "unsafe").status == 202
         eventually(lambda: partner.calls_with("m1"))
-        in_force(node, cluster.publish(lanes("safe")))
+        wait_until_in_force(node, cluster.publish(lane_items("safe")))
         partner._open[-1].sendall(raw(200))
         delivered(node, 1)
         assert len(partner.calls_with("m1")) == 1
@@ -109,11 +115,11 @@
 
 def test_a_call_that_is_out_as_its_class_goes_and_the_node_dies_may_have_run(tmp_path: Path) -> None:
     partner = EndpointPeer(None)
-    with changing(tmp_path, partner) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path, partner) as (node, platform, cluster):
         assert node.hand_in("m1", "unsafe").status == 202
         assert node.hand_in("m2", "keyed").status == 202
         eventually(lambda: partner.calls_with("m1") and partner.calls_with("m2"))
-        in_force(node, cluster.publish(lanes("safe")))
+        wait_until_in_force(node, cluster.publish(lane_items("safe")))
         node.kill()
         partner.script = [raw(200)]
         node.start()
@@ -126,48 +132,50 @@
     ("items", "path"),
     [
         (
-            lanes("safe", unsafe={**LANES["unsafe"], "repeat": "read_like"}, more=MORE),
+            lane_items("safe", unsafe={**LANES["unsafe"], "repeat": "read_like"}, more=MORE),
             "lanes/unsafe.repeat: ",
         ),
-        (lanes("safe", keyed={**LANES["keyed"], "window": 99.0}, more=MORE), "lanes/keyed.window: "),
-        ({**lanes("safe", more=MORE), "allowed/attemptsCap": 0}, "allowed.attemptsCap: "),
-        ({**lanes("safe", more=MORE), "allowed/mostHeld": "many"}, "allowed.mostHeld: "),
-        ({**lanes("safe", more=MORE), "ordinal": 7}, "ordinal: "),
-        ({**lanes("safe", more=MORE), "extra/maxCalls": 4000}, "extra.maxCalls: "),
+        (lane_items("safe", keyed={**LANES["keyed"], "window": 99.0}, more=MORE), "lanes/keyed.window: "),
+        ({**lane_items("safe", more=MORE), "allowed/attemptsCap": 0}, "allowed.attemptsCap: "),
+        ({**lane_items("safe", more=MORE), "allowed/mostHeld": "many"}, "allowed.mostHeld: "),
+        ({**lane_items("safe", more=MORE), "ordinal": 7}, "ordinal: "),
+        ({**lane_items("safe", more=MORE), "extra/maxCalls": 4000}, "extra.maxCalls: "),
         (
-            {**lanes("safe", more=MORE), "kinds/plain": {"separateRoutes": True}},
+            {**lane_items("safe", more=MORE), "kinds/plain": {"separateRoutes": True}},
             "kinds/plain.separateRoutes: ",
         ),
-        ({**lanes("safe", more=MORE), "nonsense": 1}, "nonsense: "),
+        ({**lane_items("safe", more=MORE), "nonsense": 1}, "nonsense: "),
     ],
 )
 def test_a_document_with_one_bad_value_changes_nothing_and_is_named(
     tmp_path: Path, items: dict[str, Any], path: str
 ) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path, partner) as (node, _, cluster):
-        in_force(node, cluster.publish({"allowed/attemptsCap": 5}))
+    with dynamic_settings_node(tmp_path, partner) as (node, _, cluster):
+        wait_until_in_force(node, cluster.publish({"allowed/attemptsCap": 5}))
         bad = cluster.publish(items)
         eventually(lambda: node.counters().get("settings_refused") == 1, "a refusal")
-        (line,) = logged(node, "settings_refused")
+        (line,) = logged_events(node, "settings_refused")
         assert line["revision"] == bad
         assert line["reason"].startswith(path)
         assert "Traceback" not in node.log.read_text()
         assert node.hand_in("m1", "more").status == 404, "nothing of it is taken"
         assert node.hand_in("m2", "unsafe").status == 202, "what was there before still is"
         assert saved(node)["items"] == {"allowed/attemptsCap": 5}
-        good = cluster.publish(lanes("safe", more=MORE), *(p for p in items if not p.startswith("lanes/")))
+        good = cluster.publish(
+            lane_items("safe", more=MORE), *(p for p in items if not p.startswith("lanes/"))
+        )
         cluster.publish({}, "lanes/unsafe", "lanes/keyed")
-        in_force(node, good)
+        wait_until_in_force(node, good)
         assert node.hand_in("m3", "more").status == 202
         delivered(node, 2)
 
 
 def test_a_tenant_that_went_is_turned_down_and_what_it_is_owed_goes_on(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
         assert node.hand_in("m1").status == 202
-        in_force(node, cluster.publish({"tenants/zeta": {"allowancePerS": 1.0, "share": 1.0}}))
+        wait_until_in_force(node, cluster.publish({"tenants/zeta": {"allowancePerS": 1.0, "share": 1.0}}))
         assert node.hand_in("m2").status == 400
         assert node.hand_in("m3", X_Tenant_Id="zeta").status == 202
         platform.change(platform.list(partner, 1))
@@ -179,10 +187,10 @@
 @pytest.mark.parametrize("killed", [False, True], ids=["running", "killed"])
 def test_endpoints_of_a_kind_that_went_still_get_what_is_owed(tmp_path: Path, killed: bool) -> None:
     partner = EndpointPeer(raw(503, "Retry-After: 4"))
-    with changing(tmp_path, partner) as (node, _, cluster):
+    with dynamic_settings_node(tmp_path, partner) as (node, _, cluster):
         assert node.hand_in("m1").status == 202
         eventually(lambda: partner.calls_with("m1"))
-        in_force(node, cluster.publish({"kinds/shared": {"maxBatch": 5}}))
+        wait_until_in_force(node, cluster.publish({"kinds/shared": {"maxBatch": 5}}))
         if killed:
             node.kill()
         partner.script = [raw(200)]  # only now: it is delivered by the last life
@@ -194,23 +202,23 @@
 
 def test_a_line_of_a_kind_that_is_yet_to_come_is_read_once_it_is_there(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
         eventually(lambda: platform.watchers)
         platform.change(platform.list(partner, 1, flavor="fresh"))
-        eventually(lambda: logged(node, "list_line_waits_for_its_kind"), "a line that waits")
+        eventually(lambda: logged_events(node, "list_line_waits_for_its_kind"), "a line that waits")
         assert node.hand_in("m1").status == 202, "no list has named a destination yet"
         kinds = {"kinds/plain": {}, "kinds/shared": {"maxBatch": 5}, "kinds/fresh": {"maxBatch": 2}}
-        in_force(node, cluster.publish(kinds))
+        wait_until_in_force(node, cluster.publish(kinds))
         delivered(node, 1)
         partner.close()
 
 
 def test_limits_below_what_is_held_drop_nothing(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
         for number in range(30):
             assert node.hand_in(f"m{number}").status == 202
-        in_force(
+        wait_until_in_force(
             node, cluster.publish({"allowed/mostHeld": 5, "extra/maxCalls": 1, "allowed/attemptsCap": 1})
         )
         assert not platform.notices
@@ -223,7 +231,7 @@
 
 def test_more_calls_at_once_are_made_once_that_is_allowed(tmp_path: Path) -> None:
     partners = [EndpointPeer(None) for _ in range(16)]
-    with changing(tmp_path) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
         eventually(lambda: platform.watchers)
         platform.change(*(platform.list(partner, n) for n, partner in enumerate(partners)))
         for number in range(16):
@@ -231,7 +239,7 @@
         eventually(
             lambda: sum(len(partner.requests) for partner in partners) == 12, "as many as the file says"
         )
-        in_force(node, cluster.publish({"extra/maxCalls": 60}))
+        wait_until_in_force(node, cluster.publish({"extra/maxCalls": 60}))
         eventually(lambda: sum(len(partner.requests) for partner in partners) == 16, "all of them")
         for partner in partners:
             partner.close()
@@ -239,7 +247,7 @@
 
 def test_a_burst_of_changes_while_serving_loses_and_doubles_nothing(tmp_path: Path) -> None:
     partners = [EndpointPeer(), EndpointPeer()]
-    with changing(tmp_path, *partners) as (node, platform, cluster):
+    with dynamic_settings_node(tmp_path, *partners) as (node, platform, cluster):
         answers: dict[str, int] = {}
 
         def serve(client: int) -> None:
@@ -256,12 +264,12 @@
                 cluster.publish({"allowed/mostHeld": 60 + number}, "lanes/come_and_go")
             else:
                 cluster.publish(
-                    lanes("safe", "unsafe", come_and_go=MORE) | {"extra/maxCalls": 12 + number % 7}
+                    lane_items("safe", "unsafe", come_and_go=MORE) | {"extra/maxCalls": 12 + number % 7}
                 )
         for client in clients:
             client.join()
         last = cluster.publish({"balancers": 3})
-        in_force(node, last)
+        wait_until_in_force(node, last)
         taken = [id_ for id_, status in answers.items() if status == 202]
         assert len(answers) == 180
         assert set(answers.values()) <= {202, 404}
@@ -274,8 +282,8 @@
 
 def test_a_saved_document_is_in_force_from_the_start_without_the_cluster(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path, partner) as (node, _, cluster):
-        in_force(node, cluster.publish(lanes("safe", more=MORE)))
+    with dynamic_settings_node(tmp_path, partner) as (node, _, cluster):
+        wait_until_in_force(node, cluster.publish(lane_items("safe", more=MORE)))
         node.kill()
         cluster.stop()
         node.start()
@@ -286,15 +294,15 @@
 
 def test_a_saved_document_that_no_longer_fits_the_file_is_one_line(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path) as (node, platform, cluster):
-        in_force(node, cluster.publish({**lanes("safe", more=MORE), "extra/maxCalls": 100}))
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
+        wait_until_in_force(node, cluster.publish({**lane_items("safe", more=MORE), "extra/maxCalls": 100}))
         assert node.hand_in("m1", "more").status == 202
         node.kill()
         cluster.stop()
         node.raw["limits"]["sockets"] = 80  # too few for so many calls
         platform.list(partner, 1)  # before the watch is held: a change as it opens may cross the whole list
         node.start()
-        (line,) = logged(node, "saved_settings_refused")
+        (line,) = logged_events(node, "saved_settings_refused")
         assert line["error"].startswith("extra.maxCalls: ")
         assert node.hand_in("m2", "keyed").status == 202, "the file's settings go on"
         assert node.hand_in("m3", "more").status == 404
@@ -304,11 +312,11 @@
 
 
 def test_a_class_that_went_and_came_back_otherwise_is_refused(tmp_path: Path) -> None:
-    with changing(tmp_path) as (node, _, cluster):
-        in_force(node, cluster.publish(lanes("safe", "keyed")))
-        in_force(node, cluster.publish({}, "lanes/keyed"))
+    with dynamic_settings_node(tmp_path) as (node, _, cluster):
+        wait_until_in_force(node, cluster.publish(lane_items("safe", "keyed")))
+        wait_until_in_force(node, cluster.publish({}, "lanes/keyed"))
         cluster.publish({"lanes/keyed": {**LANES["keyed"], "group": "zone"}})
-        (line,) = eventually(lambda: logged(node, "settings_refused"))
+        (line,) = eventually(lambda: logged_events(node, "settings_refused"))
         assert line["reason"].startswith("lanes/keyed.group: ")
         assert node.hand_in("m1", "keyed").status == 404
 
@@ -334,20 +342,20 @@
 
 
 def test_at_a_signal_the_file_is_read_and_what_is_in_force_stays(tmp_path: Path) -> None:
-    with changing(tmp_path) as (node, _, cluster):
-        in_force(node, cluster.publish(lanes("safe", more=MORE)))
+    with dynamic_settings_node(tmp_path) as (node, _, cluster):
+        wait_until_in_force(node, cluster.publish(lane_items("safe", more=MORE)))
         node.raw["settings"] = {**SETTINGS, "balancers": 9}
         node.reread()
-        (line,) = logged(node, "configuration_taken")
+        (line,) = logged_events(node, "configuration_taken")
         assert set(line["await_restart"]) == {"settings", "dynamic_settings"}
         assert node.hand_in("m1", "more").status == 202
 
 
 def test_a_message_whose_class_is_not_known_at_the_start_waits_for_the_settings(tmp_path: Path) -> None:
     partner = EndpointPeer()
-    with changing(tmp_path) as (node, platform, cluster):
-        revision = cluster.publish(lanes("safe", more=MORE))
-        in_force(node, revision)
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
+        revision = cluster.publish(lane_items("safe", more=MORE))
+        wait_until_in_force(node, revision)
         assert node.hand_in("m1", "more").status == 202
         assert node.hand_in("m2", "more", X_Timeout="0.500").status == 202
         node.kill()
@@ -355,15 +363,15 @@
         platform.list(partner, 1)
         node.raw["known"] = platform.document()
         node.start()
-        in_force(node, revision)
+        wait_until_in_force(node, revision)
         delivered(node, 1)
         assert len(partner.calls_with("m1")) == 1
         partner.close()
 
 
 def test_a_message_whose_class_never_comes_is_told_at_its_end(tmp_path: Path) -> None:
-    with changing(tmp_path) as (node, platform, cluster):
-        in_force(node, cluster.publish(lanes("safe", more=MORE)))
+    with dynamic_settings_node(tmp_path) as (node, platform, cluster):
+        wait_until_in_force(node, cluster.publish(lane_items("safe", more=MORE)))
         assert node.hand_in("m1", "more", X_Timeout="4.000").status == 202
         node.kill()
         cluster.stop()
@@ -372,4 +380,4 @@
         assert platform.notice("m1") is None
         notice = eventually(lambda: platform.notice("m1"))
         assert notice["result"] == "dead"
-        assert logged(node, "class_gone")
+        assert logged_events(node, "class_gone")
--- a/tests/node/test_settings_parts.py
+++ b/tests/node/test_settings_parts.py
@@ -208,46 +208,46 @@
 
 
 def test_lines_wait_for_their_kind_and_the_newest_of_an_id_counts() -> None:
-    reader = ListReader(OWN, most_waiting=10)
+    reader = ListReader(OWN, max_waiting=10)
     lines = member(1, flavor="fresh"), member(2, flavor="fresh"), member(3, flavor="fresh"), member(4)
-    assert len(reader.update(delta(*lines)).endpoints) == 1
-    reader.update(delta(member(1, flavor="fresh", cell=9), member(2, flavor="fresh", phase="DELETED")))
-    reader.update(delta(member(3)))
-    assert reader.follow(replace(OWN, max_held=3)) is None
-    update = reader.follow(FRESH)
+    assert len(reader.parse_update(delta(*lines)).endpoints) == 1
+    reader.parse_update(delta(member(1, flavor="fresh", cell=9), member(2, flavor="fresh", phase="DELETED")))
+    reader.parse_update(delta(member(3)))
+    assert reader.apply_settings(replace(OWN, max_held=3)) is None
+    update = reader.apply_settings(FRESH)
     assert update is not None
     assert (update.scope, update.version) == (api.UpdateScope.DELTA, 5)
     assert [(e.address[0][-1], e.destination, e.kind) for e in update.endpoints] == [(1, 9, 2)]
-    assert reader.follow(FRESH) is None
+    assert reader.apply_settings(FRESH) is None
 
 
 def test_lines_that_wait_are_bounded_and_a_whole_list_replaces_them() -> None:
-    reader = ListReader(OWN, most_waiting=2)
-    reader.update(delta(*(member(n, flavor="fresh") for n in range(1, 6))))
-    reader.update({"revision": 6, "complete": True, "members": [member(9, flavor="fresh")]})
-    update = reader.follow(FRESH)
+    reader = ListReader(OWN, max_waiting=2)
+    reader.parse_update(delta(*(member(n, flavor="fresh") for n in range(1, 6))))
+    reader.parse_update({"revision": 6, "complete": True, "members": [member(9, flavor="fresh")]})
+    update = reader.apply_settings(FRESH)
     assert update is not None
     assert [endpoint.address[0][-1] for endpoint in update.endpoints] == [9]
-    reader.update(delta(*(member(n, flavor="later") for n in range(1, 6))))
-    later = reader.follow(replace(FRESH, kinds=(*FRESH.kinds, api.DestinationKind("later"))))
+    reader.parse_update(delta(*(member(n, flavor="later") for n in range(1, 6))))
+    later = reader.apply_settings(replace(FRESH, kinds=(*FRESH.kinds, api.DestinationKind("later"))))
     assert later is not None
     assert len(later.endpoints) == 2
 
 
 def test_without_settings_that_change_no_line_waits() -> None:
     reader = ListReader(OWN)
-    reader.update(delta(member(1, flavor="fresh")))
-    assert reader.follow(FRESH) is None
+    reader.parse_update(delta(member(1, flavor="fresh")))
+    assert reader.apply_settings(FRESH) is None
 
 
 def test_a_zone_that_the_settings_do_not_name_never_passes_for_one_that_they_name_later() -> None:
     reader = ListReader(OWN)
-    (unnamed,) = reader.update(delta(member(1, locality="other"))).endpoints
-    reader.follow(FRESH)
-    zones = {e.zone for e in reader.update(delta(member(2, locality="new"), member(3))).endpoints}
+    (unnamed,) = reader.parse_update(delta(member(1, locality="other"))).endpoints
+    reader.apply_settings(FRESH)
+    zones = {e.zone for e in reader.parse_update(delta(member(2, locality="new"), member(3))).endpoints}
     assert zones == {1, 0}
     assert unnamed.zone not in zones
-    (again,) = reader.update(delta(member(4, locality="other"))).endpoints
+    (again,) = reader.parse_update(delta(member(4, locality="other"))).endpoints
     assert again.zone == unnamed.zone
 
 
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -88,7 +88,7 @@
 def test_read_anew_the_file_tells_where_discovery_is(tmp_path: Path) -> None:
     environment = {**written(tmp_path), "RELAY_DISCOVERY": "127.0.0.1:3"}
     assert load(environment).discovery == ("127.0.0.1", 3)
-    assert load(environment, anew=True).discovery == ("127.0.0.1", 2)
+    assert load(environment, reload=True).discovery == ("127.0.0.1", 2)
 
 
 @pytest.mark.parametrize(
@@ -595,7 +595,7 @@
 
 def test_the_list_is_read_and_a_bad_line_costs_only_itself() -> None:
     reader = ListReader(read(Reader(SETTINGS)))
-    update = reader.update(
+    update = reader.parse_update(
         {
             "revision": 7,
             "complete": True,
@@ -661,13 +661,17 @@
 
 def test_an_endpoint_that_moved_is_gone_from_its_old_address() -> None:
     reader = ListReader(read(Reader(SETTINGS)))
-    reader.update({"revision": 1, "complete": True, "members": [member(1)]})
-    update = reader.update({"revision": 2, "complete": False, "members": [member(1, host_port="10.0.0.9:1")]})
+    reader.parse_update({"revision": 1, "complete": True, "members": [member(1)]})
+    update = reader.parse_update(
+        {"revision": 2, "complete": False, "members": [member(1, host_port="10.0.0.9:1")]}
+    )
     assert [(e.address[0][3], e.state) for e in update.endpoints] == [
         (1, api.EndpointState.GONE),
         (9, api.EndpointState.READY),
     ]
-    gone = reader.update({"revision": 3, "complete": False, "members": [{"id": "s1", "phase": "DELETED"}]})
+    gone = reader.parse_update(
+        {"revision": 3, "complete": False, "members": [{"id": "s1", "phase": "DELETED"}]}
+    )
     assert [(e.address[0][3], e.state) for e in gone.endpoints] == [(9, api.EndpointState.GONE)]
 
 
@@ -677,7 +681,7 @@
     states = api.EndpointState
 
     def told(*members: dict[str, Any], complete: bool = False) -> list[api.EndpointState]:
-        update = reader.update({"revision": 1, "complete": complete, "members": list(members)})
+        update = reader.parse_update({"revision": 1, "complete": complete, "members": list(members)})
         return [endpoint.state for endpoint in update.endpoints]
 
     assert told(member(1), complete=True) == [states.READY]
@@ -704,7 +708,9 @@
     reader = ListReader(settings)
 
     def learn(now: float, complete: bool, *members: dict[str, Any]) -> set[int]:
-        decider._learn(reader.update({"revision": 1, "complete": complete, "members": list(members)}), now)
+        decider._learn(
+            reader.parse_update({"revision": 1, "complete": complete, "members": list(members)}), now
+        )
         return decider._destinations
 
     assert learn(0.0, True, member(1), member(2), member(3)) == {1, 2, 3}
