--- a/irisstack/node/endpoint.py
+++ b/irisstack/node/endpoint.py
@@ -16,7 +16,7 @@
 from irisstack.interface import Address
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.mailbox import enlarge
 from irisstack.node.results import (
@@ -239,7 +239,7 @@
         except (OSError, http.BadMessage) as error:
             ending, error_name = Ending.BROKEN, name_of_error(error)
         except Exception as error:  # an unexpected error must not leave a message without a result
-            log.error("call_failed", peer=name_of(self._host_port), error=repr(error))
+            log.error("call_failed", peer=format_host_port(self._host_port), error=repr(error))
         call.ended = True
         if (
             response is None
@@ -257,7 +257,9 @@
         if not keep:
             if self._socket is not None:
                 log.debug(
-                    "connection_closed", peer=name_of(self._host_port), reason=_close_reason(response, ending)
+                    "connection_closed",
+                    peer=format_host_port(self._host_port),
+                    reason=_close_reason(response, ending),
                 )
             self.close()
         for message in call.messages:
@@ -291,7 +293,7 @@
                 for m in call.messages
             )
         self._socket.settimeout(min(remaining, max(0.001, call.write_deadline - time.monotonic())))
-        self._socket.sendall(http.request("POST", path, name_of(self._host_port), headers, body))
+        self._socket.sendall(http.request("POST", path, format_host_port(self._host_port), headers, body))
 
     def _received_response(self) -> http.Message | None:
         """The response to a cancelled call, if it has been received completely."""
--- a/irisstack/node/notices.py
+++ b/irisstack/node/notices.py
@@ -11,7 +11,7 @@
 
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.store import Entry, Store
 
@@ -104,7 +104,11 @@
             connection.settimeout(max(0.001, deadline - time.monotonic()))
             connection.sendall(
                 http.request(
-                    "POST", "/reports", name_of(address), [("Content-Type", "application/json")], body
+                    "POST",
+                    "/reports",
+                    format_host_port(address),
+                    [("Content-Type", "application/json")],
+                    body,
                 )
             )
             while (response := reader.advance(buffer)) is None:
