--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -19,7 +19,7 @@
 from irisstack.node.config import Config, ConfigError, DynamicSettings, format_host_port, load, to_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.decider import Decider, NewSettings
-from irisstack.node.discovery import Discovery
+from irisstack.node.discovery import AddressChanged, Discovery
 from irisstack.node.endpoint import Call, Command, Endpoint, Reconfigure, Retire
 from irisstack.node.intake import Intake, Stage
 from irisstack.node.list_reader import ListReader
