--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -63,14 +63,14 @@
 }
 
 
-def eventually(condition: Callable[[], Any], what: str = "the condition") -> Any:
+def eventually(condition: Callable[[], Any], description: str = "the condition") -> Any:
     """Wait until something holds; the limit only ends a test that has failed."""
     end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         if found := condition():
             return found
         time.sleep(0.01)
-    raise AssertionError(f"{what} did not come about")
+    raise AssertionError(f"{description} did not come about")
 
 
 def free_port() -> int:
@@ -133,11 +133,11 @@
         super().__init__()
 
     def reply(self, connection: socket.socket, request: http.Message) -> None:
-        answer = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-        if answer == b"":
+        response = self.script.pop(0) if len(self.script) > 1 else self.script[0]
+        if response == b"":
             connection.close()
-        elif answer is not None:
-            connection.sendall(answer)
+        elif response is not None:
+            connection.sendall(response)
 
     def calls_with(self, id_: str) -> list[http.Message]:
         return [
@@ -158,7 +158,7 @@
         self.watchers: list[socket.socket] = []
         super().__init__(port)
 
-    def add_member(self, endpoint: ScriptedServer, number: int, **changes: Any) -> dict[str, Any]:
+    def add_member(self, endpoint: ScriptedServer, number: int, **overrides: Any) -> dict[str, Any]:
         member = {
             "id": f"s-{number}",
             "host_port": f"127.0.0.1:{endpoint.port}",
@@ -168,7 +168,7 @@
             "phase": "SERVING",
             "size": 50.0,
             "up_since_ms": 0,
-            **changes,
+            **overrides,
         }
         self.members.append(member)
         return member
@@ -191,8 +191,8 @@
         else:
             connection.sendall(http_response(200, body=json.dumps(self.document())))
 
-    def send_update(self, line: dict[str, Any] | str) -> None:
-        text = line if isinstance(line, str) else json.dumps(line)
+    def send_update(self, update: dict[str, Any] | str) -> None:
+        text = update if isinstance(update, str) else json.dumps(update)
         chunk = f"{text}\n".encode()
         for watcher in self.watchers:
             with contextlib.suppress(OSError):
@@ -209,12 +209,12 @@
 class Node:
     """The real program under one name and address, started, killed and started again."""
 
-    def __init__(self, folder: Path, platform: ScriptedPlatform, **limits: float) -> None:
+    def __init__(self, directory: Path, platform: ScriptedPlatform, **limits: float) -> None:
         self.port = free_port()
-        self.state = folder / "state"
+        self.state = directory / "state"
         self.state.mkdir(exist_ok=True)
-        self.log = folder / "log"
-        self.config = folder / "config.json"
+        self.log = directory / "log"
+        self.config = directory / "config.json"
         self.config_data: dict[str, Any] = {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -284,12 +284,14 @@
         finally:
             client.close()
 
-    def submit(self, id_: str, kind: str = "safe", body: bytes = b"hello", **changes: str) -> http.Message:
-        return self.send_request(message_request(id_, kind, body, **changes))
+    def submit(
+        self, id_: str, class_name: str = "safe", body: bytes = b"hello", **header_overrides: str
+    ) -> http.Message:
+        return self.send_request(message_request(id_, class_name, body, **header_overrides))
 
     def counters(self) -> dict[str, int]:
-        answer = self.send_request(http.request("GET", "/counters", "node"))
-        return dict(json.loads(answer.body))
+        response = self.send_request(http.request("GET", "/counters", "node"))
+        return dict(json.loads(response.body))
 
 
 class ClientConnection:
@@ -303,10 +305,10 @@
         self._socket.sendall(data)
 
     def read_response(self) -> http.Message:
-        while (answer := self._reader.advance(self._buffer)) is None:
+        while (response := self._reader.advance(self._buffer)) is None:
             if not self._buffer.receive(self._socket):
                 raise ConnectionResetError("no answer")
-        return answer
+        return response
 
     def is_closed(self) -> bool:
         """Whether the node ends the connection without another byte."""
@@ -316,35 +318,37 @@
         self._socket.close()
 
 
-def message_request(id_: str, kind: str = "safe", body: bytes = b"hello", **changes: str) -> bytes:
+def message_request(
+    id_: str, class_name: str = "safe", body: bytes = b"hello", **header_overrides: str
+) -> bytes:
     """A request that hands a message in; a change of `""` leaves a header out."""
     headers = {
         "X-Request-ID": id_,
-        "X-Priority-Class": kind,
+        "X-Priority-Class": class_name,
         "X-Tenant-Id": "acme",
         "X-Timeout": "20.000",
         "X-Consignee": "dest=1",
-        "Idempotency-Key": f"key-{id_}" if kind == "keyed" else "",
-        **{name.replace("_", "-"): value for name, value in changes.items()},
+        "Idempotency-Key": f"key-{id_}" if class_name == "keyed" else "",
+        **{name.replace("_", "-"): value for name, value in header_overrides.items()},
     }
-    return http.request("POST", f"/{kind}", "node", [item for item in headers.items() if item[1]], body)
+    return http.request("POST", f"/{class_name}", "node", [item for item in headers.items() if item[1]], body)
 
 
 @contextlib.contextmanager
 def node_and_platform(
-    folder: Path, *endpoints: ScriptedEndpoint, flavor: str = "plain", **limits: float
+    directory: Path, *endpoints: ScriptedEndpoint, flavor: str = "plain", **limits: float
 ) -> Iterator[Any]:
     """A platform that lists the endpoints, all of destination 1, and a node beside them that runs."""
     platform = ScriptedPlatform()
-    for number, peer in enumerate(endpoints, start=1):
-        platform.add_member(peer, number, cell=1, flavor=flavor)
-    node = Node(folder, platform, **limits)
+    for number, endpoint in enumerate(endpoints, start=1):
+        platform.add_member(endpoint, number, cell=1, flavor=flavor)
+    node = Node(directory, platform, **limits)
     with running_node(node, platform, *endpoints):
         yield node, platform
 
 
 @contextlib.contextmanager
-def running_node(node: Node, *peers: ScriptedServer) -> Iterator[None]:
+def running_node(node: Node, *servers: ScriptedServer) -> Iterator[None]:
     """Start a node; at the end it is killed, if it runs, and its peers are closed."""
     try:
         node.start()
@@ -352,5 +356,5 @@
     finally:
         if node.process is not None and node.process.poll() is None:
             node.kill()
-        for peer in peers:
-            peer.close()
+        for server in servers:
+            server.close()
