--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -1,4 +1,4 @@
-"""A real node in a process of its own, and scripted peers on free loopback ports."""
+"""A real node in its own process, and scripted endpoints, platform and clients on free loopback ports."""
 
 import contextlib
 import json
@@ -17,6 +17,7 @@
 from irisstack.node.buffer import Buffer
 
 TIMEOUT_S = 20.0
+"""Seconds after which a wait counts as failed."""
 SETTINGS: dict[str, Any] = {
     "allowed": {
         "attemptsCap": 4,
@@ -64,13 +65,13 @@
 
 
 def eventually(condition: Callable[[], Any], description: str = "the condition") -> Any:
-    """Wait until something holds; the limit only ends a test that has failed."""
+    """Wait until a condition holds and return its value; the timeout only ends a test that has failed."""
     end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         if found := condition():
             return found
         time.sleep(0.01)
-    raise AssertionError(f"{description} did not come about")
+    raise AssertionError(f"timed out waiting for {description}")
 
 
 def free_port() -> int:
@@ -80,7 +81,7 @@
 
 
 class ScriptedServer:
-    """Accepts connections and answers each request as a script says; keeps what it was sent."""
+    """Accepts connections, records each request and answers it with `reply`."""
 
     def __init__(self, port: int = 0) -> None:
         self._server = socket.create_server(("127.0.0.1", port))
@@ -113,7 +114,7 @@
         raise NotImplementedError
 
     def close(self) -> None:
-        """End as a process that dies: a close alone waits for the threads that accept and read."""
+        """Close all sockets, as when a process dies; a close alone would wait for the threads that use them."""
         for each in (self._server, *self._sockets):
             with contextlib.suppress(OSError):
                 each.shutdown(socket.SHUT_RDWR)
@@ -121,12 +122,15 @@
 
 
 def http_response(status: int, *headers: str, body: str = "") -> bytes:
-    lines = [f"HTTP/1.1 {status} Said", *headers, f"Content-Length: {len(body)}", "", body]
+    lines = [f"HTTP/1.1 {status} Scripted", *headers, f"Content-Length: {len(body)}", "", body]
     return "\r\n".join(lines).encode()
 
 
 class ScriptedEndpoint(ScriptedServer):
-    """An endpoint: answers with what its script holds next, the last one over and over; `None` is silence."""
+    """An endpoint that answers with the responses of its script, repeating the last one.
+
+    `None` leaves a request unanswered, `b""` closes the connection.
+    """
 
     def __init__(self, *script: bytes | None) -> None:
         self.script = list(script) or [http_response(200)]
@@ -140,6 +144,7 @@
             connection.sendall(response)
 
     def calls_with(self, id_: str) -> list[http.Message]:
+        """The calls that contain this message."""
         return [
             request
             for request in self.requests
@@ -148,17 +153,18 @@
 
 
 class ScriptedPlatform(ScriptedServer):
-    """Discovery and the ear for notices."""
+    """Discovery, and the receiver of notices."""
 
     def __init__(self, port: int = 0) -> None:
         self.members: list[dict[str, Any]] = []
         self.revision = 1
         self.notices: list[dict[str, Any]] = []
-        self.rejections_left = 0  # so many posts are answered 503 first
+        self.rejections_left = 0  # posts of notices still to be answered with 503
         self.watchers: list[socket.socket] = []
         super().__init__(port)
 
     def add_member(self, endpoint: ScriptedServer, number: int, **overrides: Any) -> dict[str, Any]:
+        """Add an endpoint to the list without notifying the watches; returns its entry."""
         member = {
             "id": f"s-{number}",
             "host_port": f"127.0.0.1:{endpoint.port}",
@@ -192,6 +198,7 @@
             connection.sendall(http_response(200, body=json.dumps(self.document())))
 
     def send_update(self, update: dict[str, Any] | str) -> None:
+        """Send a line to every watch."""
         text = update if isinstance(update, str) else json.dumps(update)
         chunk = f"{text}\n".encode()
         for watcher in self.watchers:
@@ -199,6 +206,7 @@
                 watcher.sendall(b"%x\r\n%s\r\n" % (len(chunk), chunk))
 
     def update_members(self, *members: dict[str, Any]) -> None:
+        """Notify the watches of changed members."""
         self.revision += 1
         self.send_update({"revision": self.revision, "complete": False, "members": list(members)})
 
@@ -207,7 +215,7 @@
 
 
 class Node:
-    """The real program under one name and address, started, killed and started again."""
+    """The real program with a fixed name and address; it can be started, killed and restarted."""
 
     def __init__(self, directory: Path, platform: ScriptedPlatform, **limits: float) -> None:
         self.port = free_port()
@@ -226,15 +234,15 @@
         }
         self.process: subprocess.Popen[bytes] | None = None
         self.environment: dict[str, str] = {}
-        """Variables for the process beside those that any node is given."""
+        """Additional environment variables of the process."""
 
     def reload_config(self) -> None:
-        """Have the running node read its configuration as it stands now."""
+        """Write the configuration and have the running node reload it."""
         assert self.process is not None
         before = self.log.read_text().count('"event": "configuration_')
         self.config.write_text(json.dumps(self.config_data))
         self.process.send_signal(signal.SIGHUP)
-        eventually(lambda: self.log.read_text().count('"event": "configuration_') > before, "a new reading")
+        eventually(lambda: self.log.read_text().count('"event": "configuration_') > before, "the reload")
 
     def launch(self) -> "subprocess.Popen[bytes]":
         self.config.write_text(json.dumps(self.config_data))
@@ -276,7 +284,7 @@
         return ClientConnection(self.port)
 
     def send_request(self, data: bytes) -> http.Message:
-        """One request on a connection of its own."""
+        """Send one request on its own connection."""
         client = self.connect()
         try:
             client.send(data)
@@ -307,11 +315,11 @@
     def read_response(self) -> http.Message:
         while (response := self._reader.advance(self._buffer)) is None:
             if not self._buffer.receive(self._socket):
-                raise ConnectionResetError("no answer")
+                raise ConnectionResetError("connection closed before the response")
         return response
 
     def is_closed(self) -> bool:
-        """Whether the node ends the connection without another byte."""
+        """Whether the node closes the connection without sending anything more."""
         return self._socket.recv(1) == b""
 
     def close(self) -> None:
@@ -321,7 +329,7 @@
 def message_request(
     id_: str, class_name: str = "safe", body: bytes = b"hello", **header_overrides: str
 ) -> bytes:
-    """A request that hands a message in; a change of `""` leaves a header out."""
+    """A request that submits a message; an override of `""` omits the header."""
     headers = {
         "X-Request-ID": id_,
         "X-Priority-Class": class_name,
@@ -338,7 +346,7 @@
 def node_and_platform(
     directory: Path, *endpoints: ScriptedEndpoint, flavor: str = "plain", **limits: float
 ) -> Iterator[Any]:
-    """A platform that lists the endpoints, all of destination 1, and a node beside them that runs."""
+    """Run a node with a platform that lists the endpoints, all of destination 1."""
     platform = ScriptedPlatform()
     for number, endpoint in enumerate(endpoints, start=1):
         platform.add_member(endpoint, number, cell=1, flavor=flavor)
@@ -349,7 +357,7 @@
 
 @contextlib.contextmanager
 def running_node(node: Node, *servers: ScriptedServer) -> Iterator[None]:
-    """Start a node; at the end it is killed, if it runs, and its peers are closed."""
+    """Start a node; at the end kill it if it still runs, and close the servers."""
     try:
         node.start()
         yield
