--- a/tests/node_support.py
+++ b/tests/node_support.py
@@ -114,7 +114,7 @@
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close all sockets, as when a process dies; a close alone would wait for the threads that use them."""
+        """Close all sockets as if the process died; a close alone waits for the threads that use them."""
         for each in (self._server, *self._sockets):
             with contextlib.suppress(OSError):
                 each.shutdown(socket.SHUT_RDWR)
