--- a/tests/node/fault_soak.py
+++ b/tests/node/fault_soak.py
@@ -24,9 +24,9 @@
 from irisstack.node import http
 from tests.node.fault_support import node_with_faults
 from tests.node.soak_audit import (
+    DEDUP_WINDOW_S,
     HARNESS_SLACK_S,
     RESULT_SLACK_S,
-    WINDOW_S,
     ReceivedCall,
     SoakRun,
     SubmittedMessage,
@@ -35,34 +35,34 @@
 from tests.node.soak_discovery import DrainInjector, SoakDiscovery
 from tests.node_support import Node, ScriptedEndpoint, ScriptedPlatform, http_response, message_request
 
-PLAY_S = 12.0
+SUBMIT_DURATION_S = 12.0
 """Seconds in which messages are handed in."""
-CLIENTS, CROWD = 5, 60
-FLEETS = (2, 24)
+CLIENT_COUNT, IDLE_CLIENT_COUNT = 5, 60
+FLEET_SIZES = (2, 24)
 """Nodes that the settings tell of; the pauses between calls for the list go by them."""
 KILL_AFTER_S = 3.7
 """Seconds from SIGTERM to SIGKILL, the earliest that the protocol allows."""
 RESTART_AFTER_S = 0.6
-ANSWER_WITHIN_S = 2.5
-STEPS_S = (-3600.0, -20.0, -3.0, 3.0, 20.0, 3600.0)
-UNEXPECTED = ('"part_failed"', '"call_failed"', '"request_failed"')
+ANSWER_TIMEOUT_S = 2.5
+CLOCK_STEPS_S = (-3600.0, -20.0, -3.0, 3.0, 20.0, 3600.0)
+ERROR_EVENTS = ('"part_failed"', '"call_failed"', '"request_failed"')
 """Events of the log that tell of an error which the node did not foresee."""
-KINDS = ("safe", "keyed", "unsafe")
+CLASS_NAMES = ("safe", "keyed", "unsafe")
 
 
-class _Endpoint(ScriptedEndpoint):
+class _UnreliableEndpoint(ScriptedEndpoint):
     """Serves most calls; refuses, fails, stays silent or closes on the others."""
 
-    def __init__(self, play: SoakRun, number: int) -> None:
+    def __init__(self, soak_run: SoakRun, number: int) -> None:
         super().__init__()
-        self._play, self._number = play, number
-        self._random = Random(play.seed * 10 + number)
+        self._soak_run, self._number = soak_run, number
+        self._random = Random(soak_run.seed * 10 + number)
 
     def reply(self, connection: socket.socket, request: http.Message) -> None:
         call = ReceivedCall(
             request.headers["x-request-id"], time.monotonic(), ran=True, endpoint=self._number
         )
-        self._play.calls.append(call)
+        self._soak_run.calls.append(call)
         draw, delay = self._random.random(), self._random.uniform(0.0, 0.05)
         time.sleep(delay)
         if draw < 0.03:
@@ -70,7 +70,7 @@
             wait = self._random.uniform(0.2, 1.2)
             connection.sendall(http_response(429, f"Retry-After: {wait:.3f}"))
             now = time.monotonic()
-            self._play.waits.append((now, now + wait))
+            self._soak_run.retry_after_waits.append((now, now + wait))
         elif draw < 0.05:
             connection.sendall(http_response(500))
         elif draw < 0.06:
@@ -81,80 +81,80 @@
                 call.delivered = True
 
 
-class _Platform(threading.Thread):
+class _NoticeRecorder(threading.Thread):
     """Notes when notices came."""
 
-    def __init__(self, play: SoakRun, platform: ScriptedPlatform) -> None:
+    def __init__(self, soak_run: SoakRun, platform: ScriptedPlatform) -> None:
         super().__init__(daemon=True)
-        self._play, self._platform = play, platform
-        self.over = threading.Event()
+        self._soak_run, self._platform = soak_run, platform
+        self.stop_requested = threading.Event()
 
     def run(self) -> None:
-        read = 0
-        while not self.over.wait(0.01):
+        read_count = 0
+        while not self.stop_requested.wait(0.01):
             now = time.monotonic()
-            notices = self._platform.notices[read:]
-            read += len(notices)
-            for notice in notices:
-                self._play.told.setdefault(notice["ref"], now)
+            new_notices = self._platform.notices[read_count:]
+            read_count += len(new_notices)
+            for notice in new_notices:
+                self._soak_run.notified_at.setdefault(notice["ref"], now)
 
 
 class _Client(threading.Thread):
     """Hands in one message after another on a connection that it keeps for as long as it stays open."""
 
-    def __init__(self, play: SoakRun, node: Node, number: int, until: float) -> None:
+    def __init__(self, soak_run: SoakRun, node: Node, number: int, end: float) -> None:
         super().__init__(daemon=True)
-        self._play, self._node, self._until = play, node, until
-        self._random = Random(play.seed * 100 + number)
-        self._ids = (f"{play.seed}-{number}-{count}" for count in itertools.count())
+        self._soak_run, self._node, self._end = soak_run, node, end
+        self._random = Random(soak_run.seed * 100 + number)
+        self._ids = (f"{soak_run.seed}-{number}-{count}" for count in itertools.count())
         self._socket: socket.socket | None = None
         self._used = False
-        self._opened = 0.0
+        self._connected_at = 0.0
 
     def run(self) -> None:
-        while time.monotonic() < self._until:
+        while time.monotonic() < self._end:
             time.sleep(self._random.uniform(0.0, 0.15))
             if self._socket is None and not self._connect():
                 continue
-            kind, time_left = self._random.choice(KINDS), self._random.uniform(0.8, 5.0)
+            class_name, time_left = self._random.choice(CLASS_NAMES), self._random.uniform(0.8, 5.0)
             now = time.monotonic()
-            handed = SubmittedMessage(next(self._ids), kind, now, now + time_left)
-            data = message_request(handed.id, kind, X_Timeout=f"{time_left:.3f}")
-            crossed = self._used
-            self._exchange(handed, data)
-            if handed.status is None and crossed and self._connect():
-                self._exchange(handed, data)  # the end of a connection at rest crossed the request
-            handed.ended = time.monotonic()
-            self._play.handed.append(handed)
+            message = SubmittedMessage(next(self._ids), class_name, now, now + time_left)
+            data = message_request(message.id, class_name, X_Timeout=f"{time_left:.3f}")
+            reused = self._used
+            self._exchange(message, data)
+            if message.status is None and reused and self._connect():
+                self._exchange(message, data)  # the end of a connection at rest crossed the request
+            message.answered_at = time.monotonic()
+            self._soak_run.submitted.append(message)
         self._close()
 
     def _connect(self) -> bool:
         self._close()
-        self._opened = time.monotonic()
+        self._connected_at = time.monotonic()
         try:
-            self._socket = socket.create_connection(("127.0.0.1", self._node.port), timeout=ANSWER_WITHIN_S)
+            self._socket = socket.create_connection(("127.0.0.1", self._node.port), timeout=ANSWER_TIMEOUT_S)
         except OSError:
             time.sleep(0.05)
             return False
         return True
 
-    def _exchange(self, handed: SubmittedMessage, data: bytes) -> None:
+    def _exchange(self, message: SubmittedMessage, data: bytes) -> None:
         assert self._socket is not None
-        handed.opened = self._opened
-        got = b""
+        message.connected_at = self._connected_at
+        received = b""
         try:
             self._socket.sendall(data)
-            while b"\r\n\r\n" not in got:
-                more = self._socket.recv(4096)
-                if not more:
+            while b"\r\n\r\n" not in received:
+                chunk = self._socket.recv(4096)
+                if not chunk:
                     break
-                got += more
+                received += chunk
         except OSError:
             pass
-        if b"\r\n\r\n" in got:
-            handed.status = int(got.split(b" ", 2)[1])
+        if b"\r\n\r\n" in received:
+            message.status = int(received.split(b" ", 2)[1])
             self._used = True
-        if handed.status is None or b"connection: close" in got.lower():
+        if message.status is None or b"connection: close" in received.lower():
             self._close()
 
     def _close(self) -> None:
@@ -163,17 +163,17 @@
         self._socket, self._used = None, False
 
 
-def _folder_fault(random: Random) -> tuple[Rule, ...]:
+def _state_directory_fault(random: Random) -> tuple[Rule, ...]:
     error = random.choice((errno.ENOSPC, errno.EIO))
-    part = Rule(SystemCall.WRITE, DescriptorKind.FOLDER, limit=random.randint(1, 200), count=1)
-    return part, Rule(SystemCall.WRITE, DescriptorKind.FOLDER, error)
+    partial_write = Rule(SystemCall.WRITE, DescriptorKind.FOLDER, limit=random.randint(1, 200), count=1)
+    return partial_write, Rule(SystemCall.WRITE, DescriptorKind.FOLDER, error)
 
 
-def _rules(random: Random) -> tuple[Rule, ...]:
+def _random_fault(random: Random) -> tuple[Rule, ...]:
     """One fault of the system's calls."""
     match random.randrange(7):
         case 0 | 1:
-            return _folder_fault(random)
+            return _state_directory_fault(random)
         case 2:
             error = random.choice((errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS))
             return (Rule(SystemCall.ACCEPT, error=error, count=10),)
@@ -186,98 +186,100 @@
             error = random.choice((errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET))
             return (Rule(SystemCall.RECEIVE, DescriptorKind.PEER, error, count=3),)
         case _:
-            kind = random.choice((DescriptorKind.CLIENT, DescriptorKind.PEER))
+            descriptor_kind = random.choice((DescriptorKind.CLIENT, DescriptorKind.PEER))
             limit = random.randint(1, 20)
-            return Rule(SystemCall.SEND, kind, limit=limit), Rule(SystemCall.RECEIVE, kind, limit=limit)
+            return Rule(SystemCall.SEND, descriptor_kind, limit=limit), Rule(
+                SystemCall.RECEIVE, descriptor_kind, limit=limit
+            )
 
 
-class _Disturber:
+class _FaultInjector:
     """Plays a seed's faults: alone, in pairs, and beside the signals."""
 
-    def __init__(self, play: SoakRun, node: Node, rig: Rig, until: float) -> None:
-        self._play, self._node, self._rig, self._until = play, node, rig, until
-        self._random = Random(play.seed)
-        self.breaks_reads = False
+    def __init__(self, soak_run: SoakRun, node: Node, rig: Rig, end: float) -> None:
+        self._soak_run, self._node, self._rig, self._end = soak_run, node, rig, end
+        self._random = Random(soak_run.seed)
+        self.fails_reads = False
 
     def run(self) -> None:
-        restart_at = time.monotonic() + self._random.uniform(1.0, PLAY_S - 5.0)
+        restart_at = time.monotonic() + self._random.uniform(1.0, SUBMIT_DURATION_S - 5.0)
         restarted = False
-        while time.monotonic() < self._until:
+        while time.monotonic() < self._end:
             time.sleep(self._random.uniform(0.1, 0.4))
             if self._random.random() < 0.6:
-                self._step()
+                self._step_wall_clock()
             if self._random.random() < 0.7:
-                self._fail_for_a_while()
+                self._inject_fault()
             if not restarted and time.monotonic() >= restart_at:
                 restarted = True
                 self._restart()
-        self._set()
+        self._set_rules()
 
-    def _set(self, *rules: Rule) -> None:
+    def _set_rules(self, *rules: Rule) -> None:
         """Have these faults in force."""
-        self.breaks_reads = False
+        self.fails_reads = False
         self._rig.fail(*rules)
-        self.breaks_reads = any(rule.call is SystemCall.RECEIVE and rule.error for rule in rules)
+        self.fails_reads = any(rule.call is SystemCall.RECEIVE and rule.error for rule in rules)
 
-    def _note(self, what: str) -> None:
-        self._play.faults.append(f"{time.monotonic():.3f} {what}")
+    def _record_fault(self, description: str) -> None:
+        self._soak_run.faults.append(f"{time.monotonic():.3f} {description}")
 
-    def _step(self) -> None:
-        step = self._random.choice(STEPS_S)
-        self._note(f"wall clock {step:+.0f} s")
+    def _step_wall_clock(self) -> None:
+        step = self._random.choice(CLOCK_STEPS_S)
+        self._record_fault(f"wall clock {step:+.0f} s")
         self._rig.set_wall_clock(step)
 
-    def _fail_for_a_while(self) -> None:
-        rules = _rules(self._random)
-        self._note(f"fails: {rules}")
-        self._set(*rules)
+    def _inject_fault(self) -> None:
+        rules = _random_fault(self._random)
+        self._record_fault(f"fails: {rules}")
+        self._set_rules(*rules)
         time.sleep(self._random.uniform(0.05, 0.8))
         # Else it goes on beside what comes next; but with no connections nobody can be told anything in time.
         if self._random.random() < 0.7 or rules[0].call is SystemCall.CONNECT:
-            self._set()
+            self._set_rules()
 
     def _restart(self) -> None:
         assert self._node.process is not None
-        began = time.monotonic()
-        how = self._random.choice(("kill", "term", "term twice", "hangups"))
-        self._note(f"signals: {how}")
-        if how == "hangups":
+        signalled_at = time.monotonic()
+        method = self._random.choice(("kill", "term", "term twice", "hangups"))
+        self._record_fault(f"signals: {method}")
+        if method == "hangups":
             for _ in range(5):
                 self._node.process.send_signal(signal.SIGHUP)
                 time.sleep(self._random.uniform(0.0, 0.02))
             return
-        if how != "kill":
-            for _ in range(1 + (how == "term twice")):
+        if method != "kill":
+            for _ in range(1 + (method == "term twice")):
                 self._node.process.send_signal(signal.SIGTERM)
             with contextlib.suppress(Exception):
                 self._node.process.wait(KILL_AFTER_S)
-        killed = time.monotonic()
+        killed_at = time.monotonic()
         self._node.kill()
-        self._play.kills.append((killed, time.monotonic()))
+        self._soak_run.kills.append((killed_at, time.monotonic()))
         time.sleep(RESTART_AFTER_S)
         self._node.start()
-        self._play.downs.append((began, time.monotonic()))
+        self._soak_run.downtimes.append((signalled_at, time.monotonic()))
 
 
-class _ReadWatch(threading.Thread):
+class _ReadFailureRecorder(threading.Thread):
     """Notes when the rig breaks a read, by its count of hits."""
 
-    def __init__(self, play: SoakRun, rig: Rig, disturber: _Disturber) -> None:
+    def __init__(self, soak_run: SoakRun, rig: Rig, fault_injector: _FaultInjector) -> None:
         super().__init__(daemon=True)
-        self._play, self._rig, self._disturber = play, rig, disturber
-        self.over = threading.Event()
+        self._soak_run, self._rig, self._fault_injector = soak_run, rig, fault_injector
+        self.stop_requested = threading.Event()
 
     def run(self) -> None:
-        before = 0
-        while not self.over.wait(0.002):
-            hits = self._rig.hits() if self._disturber.breaks_reads else 0
-            if hits > before:
-                self._play.broken_reads.append(time.monotonic())
-            before = hits
+        previous = 0
+        while not self.stop_requested.wait(0.002):
+            hits = self._rig.hits() if self._fault_injector.fails_reads else 0
+            if hits > previous:
+                self._soak_run.failed_reads.append(time.monotonic())
+            previous = hits
 
 
 @contextlib.contextmanager
-def _crowd(node: Node, size: int) -> Iterator[None]:
+def _idle_clients(node: Node, size: int) -> Iterator[None]:
     """Idle clients beside the others."""
     idle: list[socket.socket] = []
     try:
@@ -290,69 +292,79 @@
             each.close()
 
 
-def play(seed: int, folder: Path) -> SoakRun:
+def run_seed(seed: int, directory: Path) -> SoakRun:
     """Play one seed and audit it."""
-    result = SoakRun(seed)
-    discovery = SoakDiscovery(result)
-    endpoints = [_Endpoint(result, number) for number in (1, 2)]
-    fleet_size = FLEETS[seed % len(FLEETS)]
+    soak_run = SoakRun(seed)
+    discovery = SoakDiscovery(soak_run)
+    endpoints = [_UnreliableEndpoint(soak_run, number) for number in (1, 2)]
+    fleet_size = FLEET_SIZES[seed % len(FLEET_SIZES)]
     with node_with_faults(
-        folder, *endpoints, platform=discovery, window=WINDOW_S, fleet_size=fleet_size, sockets=128
+        directory,
+        *endpoints,
+        platform=discovery,
+        dedup_window=DEDUP_WINDOW_S,
+        fleet_size=fleet_size,
+        sockets=128,
     ) as (
         node,
         _,
         rig,
     ):
-        notices = _Platform(result, discovery)
-        notices.start()
-        drainer = DrainInjector(result, discovery, 2, discovery.members[1])
-        drainer.start()
-        until = time.monotonic() + PLAY_S
-        clients = [_Client(result, node, number, until) for number in range(CLIENTS)]
-        with _crowd(node, CROWD if seed % 3 == 0 else 0):
+        notice_recorder = _NoticeRecorder(soak_run, discovery)
+        notice_recorder.start()
+        drain_injector = DrainInjector(soak_run, discovery, 2, discovery.members[1])
+        drain_injector.start()
+        end = time.monotonic() + SUBMIT_DURATION_S
+        clients = [_Client(soak_run, node, number, end) for number in range(CLIENT_COUNT)]
+        with _idle_clients(node, IDLE_CLIENT_COUNT if seed % 3 == 0 else 0):
             for client in clients:
                 client.start()
-            disturber = _Disturber(result, node, rig, until)
-            reads = _ReadWatch(result, rig, disturber)
-            reads.start()
-            disturber.run()
+            fault_injector = _FaultInjector(soak_run, node, rig, end)
+            read_failure_recorder = _ReadFailureRecorder(soak_run, rig, fault_injector)
+            read_failure_recorder.start()
+            fault_injector.run()
             for client in clients:
                 client.join()
-        last = max((handed.due for handed in result.handed), default=time.monotonic())
-        time.sleep(max(0.0, last - time.monotonic()) + RESULT_SLACK_S + HARNESS_SLACK_S)
-        for part in (drainer, notices, reads):
-            part.over.set()
-            part.join()
+        last_deadline = max((message.deadline for message in soak_run.submitted), default=time.monotonic())
+        time.sleep(max(0.0, last_deadline - time.monotonic()) + RESULT_SLACK_S + HARNESS_SLACK_S)
+        for thread in (drain_injector, notice_recorder, read_failure_recorder):
+            thread.stop_requested.set()
+            thread.join()
         assert node.process is not None
         if node.process.poll() is not None:
-            result.broken.append(f"crash: the node ended by itself with {node.process.returncode}")
+            soak_run.violations.append(f"crash: the node ended by itself with {node.process.returncode}")
         log = node.log.read_text()
-        result.broken += [
-            f"error: {line[:300]}" for line in log.splitlines() if any(event in line for event in UNEXPECTED)
+        soak_run.violations += [
+            f"error: {line[:300]}"
+            for line in log.splitlines()
+            if any(event in line for event in ERROR_EVENTS)
         ]
-    audit(result)
-    return result
+    audit(soak_run)
+    return soak_run
 
 
-def _report(result: SoakRun) -> str:
-    taken = sum(handed.status == 202 for handed in result.handed)
-    head = f"seed {result.seed}: {'FAILED' if result.broken else 'passed'}, {len(result.handed)} handed in, "
-    head += f"{taken} taken on, {len(result.calls)} calls, {len(result.faults)} faults"
-    return "\n".join([head, *result.broken, *(result.faults if result.broken else ())])
+def _summary(soak_run: SoakRun) -> str:
+    accepted = sum(message.status == 202 for message in soak_run.submitted)
+    summary = (
+        f"seed {soak_run.seed}: {'FAILED' if soak_run.violations else 'passed'}, "
+        f"{len(soak_run.submitted)} handed in, "
+    )
+    summary += f"{accepted} taken on, {len(soak_run.calls)} calls, {len(soak_run.faults)} faults"
+    return "\n".join([summary, *soak_run.violations, *(soak_run.faults if soak_run.violations else ())])
 
 
-def run_seeds(seeds: Sequence[int], folder: Path, beside: int) -> list[SoakRun]:
+def run_seeds(seeds: Sequence[int], directory: Path, parallel: int) -> list[SoakRun]:
     """Play seeds, some beside each other, and print a line for each."""
 
-    def one(seed: int) -> SoakRun:
-        own = folder / str(seed)
-        own.mkdir()
-        result = play(seed, own)
-        print(_report(result), flush=True)
-        return result
+    def run_one(seed: int) -> SoakRun:
+        run_directory = directory / str(seed)
+        run_directory.mkdir()
+        soak_run = run_seed(seed, run_directory)
+        print(_summary(soak_run), flush=True)
+        return soak_run
 
-    with ThreadPoolExecutor(beside) as pool:
-        return list(pool.map(one, seeds))
+    with ThreadPoolExecutor(parallel) as pool:
+        return list(pool.map(run_one, seeds))
 
 
 def main() -> int:
@@ -362,10 +374,10 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--beside", type=int, default=4)
     options = parser.parse_args()
-    with tempfile.TemporaryDirectory(prefix="irisstack-soak-") as folder:
+    with tempfile.TemporaryDirectory(prefix="irisstack-soak-") as directory:
         seeds = range(options.first, options.first + options.seeds)
-        results = run_seeds(seeds, Path(folder), options.beside)
-    failed = [result.seed for result in results if result.broken]
+        results = run_seeds(seeds, Path(directory), options.beside)
+    failed = [soak_run.seed for soak_run in results if soak_run.violations]
     print(f"{len(results) - len(failed)} passed, {len(failed)} failed {failed or ''}")
     return 1 if failed else 0
 
--- a/tests/node/soak_discovery.py
+++ b/tests/node/soak_discovery.py
@@ -22,9 +22,9 @@
 class SoakDiscovery(ScriptedDiscovery):
     """Keeps in the play when it has a drain, and when it has written it to the watch that the node holds."""
 
-    def __init__(self, play: SoakRun) -> None:
-        super().__init__(*_fates(Random(play.seed + 2)))
-        self._play = play
+    def __init__(self, soak_run: SoakRun) -> None:
+        super().__init__(*_fates(Random(soak_run.seed + 2)))
+        self._soak_run = soak_run
         self._lock = threading.Lock()
 
     def send_update(self, line: dict[str, Any] | str) -> None:
@@ -32,7 +32,7 @@
             super().send_update(line)
             if not line or not self.watchers or _left(self.watchers[-1]):
                 return
-            for drain in self._play.drains:
+            for drain in self._soak_run.drains:
                 drain.written_at.append(time.monotonic())
 
 
@@ -54,24 +54,26 @@
 class DrainInjector(threading.Thread):
     """Takes one endpoint off the list and puts it back, over and over."""
 
-    def __init__(self, play: SoakRun, discovery: SoakDiscovery, number: int, line: dict[str, Any]) -> None:
+    def __init__(
+        self, soak_run: SoakRun, discovery: SoakDiscovery, number: int, line: dict[str, Any]
+    ) -> None:
         super().__init__(daemon=True)
-        self._play, self._discovery, self._number, self._line = play, discovery, number, line
-        self._random = Random(play.seed + 3)
-        self.over = threading.Event()
+        self._soak_run, self._discovery, self._number, self._line = soak_run, discovery, number, line
+        self._random = Random(soak_run.seed + 3)
+        self.stop_requested = threading.Event()
 
     def run(self) -> None:
         lasts_s = LONG_S
-        while not self.over.wait(self._random.uniform(*PAUSE_S)):
+        while not self.stop_requested.wait(self._random.uniform(*PAUSE_S)):
             drain = DrainPeriod(self._number, time.monotonic())
             phase = self._random.choice(("DRAINING", "DELETED"))
             self._line["phase"] = phase
             if phase == "DELETED":
                 self._discovery.members.remove(self._line)
-            self._play.drains.append(drain)
-            self._play.faults.append(f"{drain.started_at:.3f} endpoint {self._number} {phase}")
+            self._soak_run.drains.append(drain)
+            self._soak_run.faults.append(f"{drain.started_at:.3f} endpoint {self._number} {phase}")
             self._discovery.update_members(self._line)
-            self.over.wait(self._random.uniform(*lasts_s))
+            self.stop_requested.wait(self._random.uniform(*lasts_s))
             lasts_s = self._random.choice((SHORT_S, LONG_S))
             drain.ended_at = time.monotonic()
             self._line["phase"] = "SERVING"
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -111,7 +111,7 @@
 @STEPS
 def test_a_restart_repeats_no_keyed_message_beyond_its_window(tmp_path: Path, step: float) -> None:
     endpoint = ScriptedEndpoint(None)
-    with node_with_faults(tmp_path, endpoint, window=1.5) as (node, platform, rig):
+    with node_with_faults(tmp_path, endpoint, dedup_window=1.5) as (node, platform, rig):
         assert node.submit("m1", "keyed").status == 202
         eventually(lambda: endpoint.requests, "the first call")
         node.kill()
