--- a/tests/node/fault_soak.py
+++ b/tests/node/fault_soak.py
@@ -1,8 +1,9 @@
-"""A seeded soak: a real node under faults of its machine, and an audit of the rules.
+"""A seeded soak: a real node under injected system faults, and an audit of its guarantees.
 
     python -m tests.node.fault_soak --seeds 50 --first 1000 --beside 4
 
-plays seeds by hand. It prints a line for each seed and, for one that fails, what broke and the faults played.
+runs seeds from the command line, `--beside` of them at a time. It prints a line for each seed and, for one
+that fails, the violations and the injected faults.
 """
 
 import argparse
@@ -36,22 +37,25 @@
 from tests.node_support import Node, ScriptedEndpoint, ScriptedPlatform, http_response, message_request
 
 SUBMIT_DURATION_S = 12.0
-"""Seconds in which messages are handed in."""
+"""Seconds in which messages are submitted."""
 CLIENT_COUNT, IDLE_CLIENT_COUNT = 5, 60
 FLEET_SIZES = (2, 24)
-"""Nodes that the settings tell of; the pauses between calls for the list go by them."""
+"""Numbers of nodes in the settings; the pauses between calls for the list depend on them."""
 KILL_AFTER_S = 3.7
 """Seconds from SIGTERM to SIGKILL, the earliest that the protocol allows."""
 RESTART_AFTER_S = 0.6
+"""Seconds from the end of a process to the start of the next."""
 ANSWER_TIMEOUT_S = 2.5
+"""Seconds for which a client waits for its answer."""
 CLOCK_STEPS_S = (-3600.0, -20.0, -3.0, 3.0, 20.0, 3600.0)
+"""Steps of the wall clock in seconds."""
 ERROR_EVENTS = ('"part_failed"', '"call_failed"', '"request_failed"')
-"""Events of the log that tell of an error which the node did not foresee."""
+"""Log events of errors that the node does not expect."""
 CLASS_NAMES = ("safe", "keyed", "unsafe")
 
 
 class _UnreliableEndpoint(ScriptedEndpoint):
-    """Serves most calls; refuses, fails, stays silent or closes on the others."""
+    """Serves most calls; answers the others with 429 or 500, closes the connection, or does not answer."""
 
     def __init__(self, soak_run: SoakRun, number: int) -> None:
         super().__init__()
@@ -75,14 +79,14 @@
             connection.sendall(http_response(500))
         elif draw < 0.06:
             connection.shutdown(socket.SHUT_RDWR)
-        elif draw >= 0.07:  # between the two it stays silent
+        elif draw >= 0.07:  # from 0.06 to 0.07 it does not answer
             with contextlib.suppress(OSError):
                 connection.sendall(http_response(200))
                 call.delivered = True
 
 
 class _NoticeRecorder(threading.Thread):
-    """Notes when notices came."""
+    """Records when notices arrive."""
 
     def __init__(self, soak_run: SoakRun, platform: ScriptedPlatform) -> None:
         super().__init__(daemon=True)
@@ -100,7 +104,7 @@
 
 
 class _Client(threading.Thread):
-    """Hands in one message after another on a connection that it keeps for as long as it stays open."""
+    """Submits one message after another on a connection that it reuses while it stays open."""
 
     def __init__(self, soak_run: SoakRun, node: Node, number: int, end: float) -> None:
         super().__init__(daemon=True)
@@ -123,7 +127,7 @@
             reused = self._used
             self._exchange(message, data)
             if message.status is None and reused and self._connect():
-                self._exchange(message, data)  # the end of a connection at rest crossed the request
+                self._exchange(message, data)  # the node closed the idle connection meanwhile
             message.answered_at = time.monotonic()
             self._soak_run.submitted.append(message)
         self._close()
@@ -170,7 +174,7 @@
 
 
 def _random_fault(random: Random) -> tuple[Rule, ...]:
-    """One fault of the system's calls."""
+    """The rules of one random system call fault."""
     match random.randrange(7):
         case 0 | 1:
             return _state_directory_fault(random)
@@ -194,7 +198,7 @@
 
 
 class _FaultInjector:
-    """Plays a seed's faults: alone, in pairs, and beside the signals."""
+    """Injects a seed's faults: steps of the wall clock, system call faults and signals, also combined."""
 
     def __init__(self, soak_run: SoakRun, node: Node, rig: Rig, end: float) -> None:
         self._soak_run, self._node, self._rig, self._end = soak_run, node, rig, end
@@ -216,7 +220,7 @@
         self._set_rules()
 
     def _set_rules(self, *rules: Rule) -> None:
-        """Have these faults in force."""
+        """Replace the rig's active rules."""
         self.fails_reads = False
         self._rig.fail(*rules)
         self.fails_reads = any(rule.call is SystemCall.RECEIVE and rule.error for rule in rules)
@@ -231,10 +235,11 @@
 
     def _inject_fault(self) -> None:
         rules = _random_fault(self._random)
-        self._record_fault(f"fails: {rules}")
+        self._record_fault(f"rules: {rules}")
         self._set_rules(*rules)
         time.sleep(self._random.uniform(0.05, 0.8))
-        # Else it goes on beside what comes next; but with no connections nobody can be told anything in time.
+        # Otherwise the fault also overlaps the next ones. Failing connects always end: without connections no
+        # notice could arrive in time.
         if self._random.random() < 0.7 or rules[0].call is SystemCall.CONNECT:
             self._set_rules()
 
@@ -262,7 +267,7 @@
 
 
 class _ReadFailureRecorder(threading.Thread):
-    """Notes when the rig breaks a read, by its count of hits."""
+    """Records when the rig fails a read, from its count of hits."""
 
     def __init__(self, soak_run: SoakRun, rig: Rig, fault_injector: _FaultInjector) -> None:
         super().__init__(daemon=True)
@@ -280,7 +285,7 @@
 
 @contextlib.contextmanager
 def _idle_clients(node: Node, size: int) -> Iterator[None]:
-    """Idle clients beside the others."""
+    """Open additional clients that stay idle."""
     idle: list[socket.socket] = []
     try:
         for _ in range(size):
@@ -293,7 +298,7 @@
 
 
 def run_seed(seed: int, directory: Path) -> SoakRun:
-    """Play one seed and audit it."""
+    """Run one seed and audit it."""
     soak_run = SoakRun(seed)
     discovery = SoakDiscovery(soak_run)
     endpoints = [_UnreliableEndpoint(soak_run, number) for number in (1, 2)]
@@ -332,7 +337,7 @@
             thread.join()
         assert node.process is not None
         if node.process.poll() is not None:
-            soak_run.violations.append(f"crash: the node ended by itself with {node.process.returncode}")
+            soak_run.violations.append(f"crash: the node exited with {node.process.returncode}")
         log = node.log.read_text()
         soak_run.violations += [
             f"error: {line[:300]}"
@@ -347,14 +352,14 @@
     accepted = sum(message.status == 202 for message in soak_run.submitted)
     summary = (
         f"seed {soak_run.seed}: {'FAILED' if soak_run.violations else 'passed'}, "
-        f"{len(soak_run.submitted)} handed in, "
+        f"{len(soak_run.submitted)} submitted, "
     )
-    summary += f"{accepted} taken on, {len(soak_run.calls)} calls, {len(soak_run.faults)} faults"
+    summary += f"{accepted} accepted, {len(soak_run.calls)} calls, {len(soak_run.faults)} faults"
     return "\n".join([summary, *soak_run.violations, *(soak_run.faults if soak_run.violations else ())])
 
 
 def run_seeds(seeds: Sequence[int], directory: Path, parallel: int) -> list[SoakRun]:
-    """Play seeds, some beside each other, and print a line for each."""
+    """Run seeds, some in parallel, and print a line for each."""
 
     def run_one(seed: int) -> SoakRun:
         run_directory = directory / str(seed)
@@ -368,7 +373,7 @@
 
 
 def main() -> int:
-    """The soak by hand; 1 if a seed fails."""
+    """Run the soak from the command line; returns 1 if a seed fails."""
     parser = argparse.ArgumentParser(prog="python -m tests.node.fault_soak")
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
--- a/tests/node/fault_support.py
+++ b/tests/node/fault_support.py
@@ -1,4 +1,4 @@
-"""A real node in a process that the fault rig leads, beside scripted peers."""
+"""A real node in a process under the fault rig, with scripted endpoints and platform."""
 
 import contextlib
 import copy
@@ -12,7 +12,7 @@
 
 
 def build_library(directory: Path) -> Path:
-    """The rig's library; where it cannot be built, the tests that need it say that they were not run."""
+    """Build the rig's library; if it cannot be built, the tests that need it are skipped."""
     try:
         return fault_rig.build(directory)
     except fault_rig.RigUnavailable as error:
@@ -28,10 +28,10 @@
     fleet_size: int = 2,
     **limits: float,
 ) -> Iterator[tuple[Node, ScriptedPlatform, fault_rig.Rig]]:
-    """A node that the rig leads and a platform, one of its own by default, that lists the endpoints.
+    """Run a node under the fault rig, with a platform that lists the endpoints, all of destination 1.
 
-    All of these are of destination 1.
-    `window` is the dedup window in seconds, `fleet_size` the number of nodes in the fleet.
+    `platform` defaults to a new one. `dedup_window` is that of the keyed class in seconds, `fleet_size` the
+    number of nodes in the settings.
     """
     rig = fault_rig.Rig(build_library(directory), directory / "control", directory / "state")
     platform = platform or ScriptedPlatform()
--- a/tests/node/soak_audit.py
+++ b/tests/node/soak_audit.py
@@ -1,48 +1,48 @@
-"""What a play of the soak has brought about, and the audit of the rules."""
+"""The events of one soak run, and the audit that checks them against the node's guarantees."""
 
 import math
 from dataclasses import dataclass, field
 
 RESULT_SLACK_S = 0.35
-"""Seconds after a message's time within which its end must be known."""
+"""Seconds after a message's deadline within which its final result must be known."""
 HARNESS_SLACK_S = 1.0
-"""What the harness itself may add on a busy machine; every step of the wall clock is longer."""
+"""Seconds that the harness may add on a busy machine; every step of the wall clock is longer."""
 RETRY_AFTER_GRACE_S = 0.25
-"""Seconds after a wait was told in which calls that were under way may still come."""
+"""Seconds after a retry-after response in which calls already in flight may still arrive."""
 RETRY_AFTER_END_SLACK_S = 0.05
-"""Seconds by which the node may read of a wait before the endpoint has noted it."""
+"""Seconds by which the node may read a retry-after before the endpoint records it."""
 RESTART_SLACK_S = 1.5
-"""Seconds after a restarted node is ready in which nothing is overdue."""
+"""Seconds after a restarted node is ready in which no result is overdue."""
 DEDUP_WINDOW_S = 3.0
-"""In which the endpoint recognises a repeat of a keyed message."""
+"""Seconds in which the endpoint recognises a repeat of a keyed message."""
 MAX_UNREAD_S = 0.2
-"""Seconds for which what was written may still be unread."""
+"""Seconds for which data written to the node may still be unread."""
 READ_FAILURE_LAG_S = 0.05
-"""Seconds by which a write may be noted after the read that broke."""
+"""Seconds by which a write may be recorded after the failed read that lost it."""
 NOTIFICATION_DEADLINE_S = 6.0
-"""Seconds after which a node counts as told of what discovery has, whether or not it has heard."""
+"""Seconds after which a node counts as notified of a change in discovery, whether or not it was received."""
 DRAIN_GRACE_S = 0.3
-"""Seconds in which calls to a draining endpoint may still begin then."""
+"""Seconds after the notification in which calls to a draining endpoint may still start."""
 
 
 @dataclass(slots=True)
 class SubmittedMessage:
-    """A message that a client handed in."""
+    """A message that a client submitted; times are in monotonic seconds."""
 
     id: str
     class_name: str
     sent_at: float
     deadline: float
     connected_at: float = 0.0
-    """When the connection was opened that it was last sent on."""
+    """When the connection that it was last sent on was opened."""
     status: int | None = None
-    """Of the answer; None if the connection ended without one."""
+    """Status of the answer; `None` if the connection ended without one."""
     answered_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ReceivedCall:
-    """A call that the endpoint received in whole."""
+    """A call that an endpoint received completely."""
 
     id: str
     received_at: float
@@ -54,38 +54,39 @@
 
 @dataclass(slots=True)
 class DrainPeriod:
-    """A time in which an endpoint drains, or is gone."""
+    """A period in which an endpoint is draining or deleted."""
 
     endpoint: int
     started_at: float
-    """When discovery had it."""
+    """When discovery had the change."""
     ended_at: float = math.inf
     written_at: list[float] = field(default_factory=list)
-    """When discovery wrote it to a watch that the node held."""
+    """When discovery wrote the change to a watch of the node."""
 
 
 @dataclass(slots=True)
 class SoakRun:
-    """What one seed has brought about."""
+    """The events of one seed's run; times are in monotonic seconds."""
 
     seed: int
     faults: list[str] = field(default_factory=list)
     submitted: list[SubmittedMessage] = field(default_factory=list)
     calls: list[ReceivedCall] = field(default_factory=list)
     notified_at: dict[str, float] = field(default_factory=dict)
+    """When the platform received a message's notice, by id."""
     downtimes: list[tuple[float, float]] = field(default_factory=list)
-    """From a signal that ends the node to when it is ready again."""
+    """From the signal that ends the node to when the restarted node is ready."""
     retry_after_waits: list[tuple[float, float]] = field(default_factory=list)
-    """From when the endpoint had told to wait, and until when."""
+    """From when an endpoint had sent a retry-after until when the wait ends."""
     kills: list[tuple[float, float]] = field(default_factory=list)
     """From SIGKILL to when the process was gone."""
     drains: list[DrainPeriod] = field(default_factory=list)
     failed_reads: list[float] = field(default_factory=list)
-    """When a read of the node's was seen to break."""
+    """When the rig was seen to fail a read of the node."""
     violations: list[str] = field(default_factory=list)
 
     def may_be_lost(self, written_at: float) -> bool:
-        """Whether a read broke while what was written to the node then may have been on its way."""
+        """Whether a read failed while data written to the node at this time may have been unread."""
         return any(
             written_at - READ_FAILURE_LAG_S <= failed_at <= written_at + MAX_UNREAD_S
             for failed_at in self.failed_reads
@@ -93,7 +94,7 @@
 
 
 def audit(run: SoakRun) -> None:
-    """Add to a play what broke in it."""
+    """Check a run and add what it finds to the run's violations."""
     run.violations += _check_retry_after(run)
     run.violations += _check_drains(run)
     for message in run.submitted:
@@ -104,26 +105,28 @@
         if notified is not None:
             late = [call for call in calls if call.received_at > notified + HARNESS_SLACK_S / 4]
             run.violations += [
-                f"after the end: {message.id} called {call.received_at - notified:.3f} s later"
+                f"call after notice: {message.id} called {call.received_at - notified:.3f} s later"
                 for call in late
             ]
 
 
 def _check_retry_after(run: SoakRun) -> list[str]:
-    """Calls that came although the endpoint had told to wait; a restart ends a wait."""
+    """Finds calls that arrived during a retry-after wait; a kill of the node ends a wait."""
     violations: list[str] = []
     for started, end in run.retry_after_waits:
         if run.may_be_lost(started):
-            continue  # what the node cannot have heard does not bind it
+            continue  # the node may not have received the retry-after
         end = min([end, *(kill for kill, _ in run.kills if kill > started)])
         for call in run.calls:
             if started + RETRY_AFTER_GRACE_S < call.received_at < end - RETRY_AFTER_END_SLACK_S:
-                violations.append(f"wait: {call.id} called {end - call.received_at:.3f} s before its end")
+                violations.append(
+                    f"wait: {call.id} called {end - call.received_at:.3f} s before the end of the wait"
+                )
     return violations
 
 
 def _check_drains(run: SoakRun) -> list[str]:
-    """Calls that came to an endpoint although the node counts as notified that it drains or is gone."""
+    """Finds calls to an endpoint after the node counts as notified that it is draining or deleted."""
     violations: list[str] = []
     for drain in run.drains:
         for call in run.calls:
@@ -137,11 +140,12 @@
             notified = min([notified, *written])
             late = call.received_at - notified - DRAIN_GRACE_S
             if late > HARNESS_SLACK_S / 2:
-                violations.append(f"drain: {call.id} came {late:.3f} s after the grace")
+                violations.append(f"drain: {call.id} arrived {late:.3f} s after the grace period")
     return violations
 
 
 def _check_final_result(run: SoakRun, message: SubmittedMessage, calls: list[ReceivedCall]) -> list[str]:
+    """Finds messages without an answer or a final result, and rejected messages that ran all the same."""
     if message.status is None:
         killed = any(
             message.connected_at <= ended and message.answered_at >= kill for kill, ended in run.kills
@@ -149,11 +153,13 @@
         return (
             []
             if killed
-            else [f"lost: {message.id} ({message.class_name}) got no answer, sent {message.sent_at:.3f}"]
+            else [f"lost: {message.id} ({message.class_name}) got no answer, sent at {message.sent_at:.3f}"]
         )
     if message.status in (429, 503):
         ran = [call for call in calls if call.ran]
-        return [f"refused and run: {message.id} ({message.class_name}), {message.status}"] if ran else []
+        return (
+            [f"rejected but run: {message.id} ({message.class_name}), status {message.status}"] if ran else []
+        )
     if message.status != 202 or any(call.delivered for call in calls):
         return []
     due_by = message.deadline + RESULT_SLACK_S
@@ -162,12 +168,15 @@
             due_by = max(due_by, ready + RESTART_SLACK_S)
     notified = run.notified_at.get(message.id)
     if notified is None or notified > due_by + HARNESS_SLACK_S:
-        when = "never" if notified is None else f"{notified - message.deadline:+.3f} s after its time"
-        return [f"lost: {message.id} ({message.class_name}) taken on at {message.sent_at:.3f}, told {when}"]
+        when = "never" if notified is None else f"{notified - message.deadline:+.3f} s after its deadline"
+        return [
+            f"lost: {message.id} ({message.class_name}) accepted at {message.sent_at:.3f}, notified {when}"
+        ]
     return []
 
 
 def _check_duplicates(message: SubmittedMessage, calls: list[ReceivedCall]) -> list[str]:
+    """Finds unsafe messages that ran twice, and keyed ones that ran again after the dedup window."""
     ran = [call for call in calls if call.ran]
     if message.class_name == "unsafe" and len(ran) > 1:
         return [f"duplicate: {message.id} (unsafe) ran {len(ran)} times"]
--- a/tests/node/test_fault_soak.py
+++ b/tests/node/test_fault_soak.py
@@ -1,15 +1,15 @@
-"""The seeded soak in short; `python -m tests.node.fault_soak` plays many seeds by hand."""
+"""A short seeded soak; `python -m tests.node.fault_soak` runs more seeds from the command line."""
 
 from pathlib import Path
 
 from tests.node.fault_soak import run_seeds
 
 SEEDS = (*range(1, 10), 608, 617)
-"""The last two broke the rule on drains before calls for the list were held within the 6 s of their news."""
+"""The last two violated the drain rule before list calls were held within the 6 s notification deadline."""
 PARALLEL_RUNS = 3
 
 
-def test_no_rule_breaks_under_faults_of_the_machine(tmp_path: Path) -> None:
+def test_soak_with_system_faults_has_no_violations(tmp_path: Path) -> None:
     runs = run_seeds(SEEDS, tmp_path, PARALLEL_RUNS)
     assert {run.seed: run.violations for run in runs if run.violations} == {}
     assert sum(message.status == 202 for run in runs for message in run.submitted) > 500
--- a/tests/node/test_soak_audit.py
+++ b/tests/node/test_soak_audit.py
@@ -1,4 +1,4 @@
-"""The soak's audit catches each broken rule, and holds the node to nothing that it cannot have heard."""
+"""The soak's audit finds each kind of violation, and none where the node may have missed the information."""
 
 from dataclasses import replace
 
@@ -13,7 +13,7 @@
 
 
 def compliant_run(**overrides: object) -> SoakRun:
-    """A play in which one message was taken on and delivered."""
+    """A run without violations: one message, accepted and delivered; `overrides` replace its fields."""
     run = SoakRun(1, submitted=[replace(ACCEPTED)], calls=[replace(CALL)])
     for name, value in overrides.items():
         setattr(run, name, value)
@@ -25,37 +25,39 @@
     return {line.split(":")[0] for line in run.violations}
 
 
-def test_a_play_that_keeps_the_rules_passes() -> None:
+def test_compliant_run_has_no_violations() -> None:
     assert violated_rules(compliant_run()) == set()
 
 
 VIOLATIONS = {
     "lost": compliant_run(calls=[]),
-    "refused and run": compliant_run(submitted=[replace(ACCEPTED, status=503)]),
+    "rejected but run": compliant_run(submitted=[replace(ACCEPTED, status=503)]),
     "duplicate": compliant_run(calls=[CALL, replace(CALL, received_at=12.0)]),
-    "after the end": compliant_run(notified_at={"m1": 10.2}),
+    "call after notice": compliant_run(notified_at={"m1": 10.2}),
     "wait": compliant_run(retry_after_waits=[(10.0, 12.0)]),
     "drain": compliant_run(drains=[DrainPeriod(2, 9.0, written_at=[9.1])]),
 }
 
 
 @pytest.mark.parametrize("rule", VIOLATIONS)
-def test_each_broken_rule_is_caught(rule: str) -> None:
+def test_each_violation_is_found(rule: str) -> None:
     assert rule in violated_rules(VIOLATIONS[rule])
 
 
-def test_a_drain_counts_as_told_after_six_seconds_though_nothing_was_written() -> None:
+def test_node_counts_as_notified_of_drain_after_six_seconds_without_update() -> None:
     assert "drain" in violated_rules(compliant_run(drains=[DrainPeriod(2, 4.0)]))
     assert violated_rules(compliant_run(drains=[DrainPeriod(2, 6.0)])) == set()
 
 
-@pytest.mark.parametrize(("read_broke_at", "binds"), [(10.1, False), (9.9, True), (10.3, True)])
-def test_what_was_lost_on_its_way_does_not_bind(read_broke_at: float, binds: bool) -> None:
-    """A read that broke before or well after it was written lost something else."""
-    reads = [read_broke_at]
+@pytest.mark.parametrize(("read_failed_at", "applies"), [(10.1, False), (9.9, True), (10.3, True)])
+def test_lost_information_does_not_apply(read_failed_at: float, applies: bool) -> None:
+    """A read that failed before, or well after, the data was written lost other data."""
+    reads = [read_failed_at]
     assert (
         "wait" in violated_rules(compliant_run(retry_after_waits=[(10.0, 12.0)], failed_reads=reads))
-    ) is binds
+    ) is applies
     drains = [DrainPeriod(2, 9.5, written_at=[10.0])]
     late = [replace(CALL, received_at=11.2)]
-    assert ("drain" in violated_rules(compliant_run(drains=drains, calls=late, failed_reads=reads))) is binds
+    assert (
+        "drain" in violated_rules(compliant_run(drains=drains, calls=late, failed_reads=reads))
+    ) is applies
