--- a/irisstack/interface.py
+++ b/irisstack/interface.py
@@ -1,6 +1,6 @@
-"""The decision module's interface: settings, events and actions. Nothing here decides anything.
+"""The decision module's interface: settings, events and actions. Contains no decision logic.
 
-Times are seconds on one clock that never goes back. `None` stands for "not told" or "not present".
+Times and durations are seconds on one monotonic clock. `None` means unknown or absent.
 """
 
 import math
@@ -8,26 +8,29 @@
 from enum import Enum, IntEnum, auto
 
 Address = tuple[bytes, int]
-"""An endpoint's address and port; opaque to the decisions."""
+"""An endpoint's address and port; opaque to the decision module."""
 
 
 class Effect(Enum):
-    """What a second delivery of the same message does."""
+    """What a repeated delivery of the same message does."""
 
     SAFE = auto()
+    """No additional effect: the message is idempotent."""
     KEYED = auto()
+    """Endpoints drop a repeat by its idempotency key, within the dedup window."""
     UNSAFE = auto()
+    """The effect may happen twice: the message must not be sent again once it may have run."""
 
 
 class DedupScope(Enum):
-    """Which endpoints of a destination drop repeats of a keyed message."""
+    """Which endpoints of a destination recognize a repeat of a keyed message: all, or those of one zone."""
 
     DESTINATION = auto()
     ZONE = auto()
 
 
 class Decay(Enum):
-    """How worth falls once the aim has passed."""
+    """How a message's worth falls once its latency target has passed."""
 
     LINEAR = auto()
     HALVING = auto()
@@ -47,7 +50,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint; it says nothing of its health."""
+    """The state of an endpoint according to discovery; it says nothing about its health."""
 
     READY = auto()
     DRAINING = auto()
@@ -55,12 +58,16 @@
 
 
 class UpdateScope(Enum):
-    """What a discovery update holds."""
+    """What an update of the endpoint list contains."""
 
     DELTA = auto()
+    """The endpoints that changed."""
     FULL = auto()
+    """The whole list."""
     CACHED = auto()
+    """The whole list as last known before the process started."""
     FAILED = auto()
+    """No endpoints: the request for the list failed."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,12 +77,18 @@
     name: str
     effect: Effect
     latency_target: float
+    """Seconds from acceptance within which the message should be delivered."""
     deadline: float
+    """Seconds from acceptance after which the message is given up."""
     worth: float
+    """Of a delivery within the latency target."""
     late_worth: float
+    """Share of `worth` that is left at the deadline."""
     dedup_scope: DedupScope = DedupScope.DESTINATION
     dedup_window: float = 0.0
+    """Seconds for which endpoints remember an idempotency key."""
     ordered: bool = False
+    """Messages with the same ordering key are sent one at a time, in order of arrival."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -84,95 +97,127 @@
 
     name: str
     max_batch: int = 1
+    """Messages that one call may carry."""
     separate_routes: bool = False
+    """Each endpoint has a circuit breaker and a limit of its own, instead of the destination as a whole."""
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and what counts in full for it, over all senders together."""
+    """A tenant and the allowance within which its messages count at full worth, over all senders together."""
 
     name: str
     rate: float
+    """Messages per second."""
     share: float
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a sender is told at start, and with `SettingsChanged`."""
+    """The settings of one sender, given at start and replaced by `SettingsChanged`."""
 
     classes: tuple[MessageClass, ...]
     kinds: tuple[DestinationKind, ...]
     tenants: tuple[Tenant, ...]
     zones: tuple[str, ...]
     zone: int
-    """In which of them this sender stands."""
+    """Index in `zones` of the zone that this sender runs in."""
     cross_zone_price: float
-    """Points off the result for attempts that go to another zone, by first try."""
+    """Score deduction for attempts sent to another zone, per first attempt.
+
+    Above 0, endpoints in the own zone are preferred.
+    """
     senders: int
+    """Number of senders in the fleet."""
     ordinal: int
+    """Number of this sender in the fleet."""
     max_calls: int
+    """Calls in flight at once."""
     max_pending: int
+    """Messages pending at once."""
     max_attempts: int
+    """Attempts per message."""
     may_cancel: bool
     may_duplicate: bool
     may_probe: bool
     may_gossip: bool
     advises_retry_after: bool
+    """Whether a rejection may tell the client when to retry."""
     max_retry_after: float
     connect_timeout: float
     keepalive: float
+    """Seconds for which an idle connection stays usable."""
     calls_per_connection: int
+    """Calls in flight at once on one connection."""
     discovery_on_request: bool
+    """The sender requests the endpoint list itself; otherwise discovery pushes it."""
     list_refresh_interval: float | None
+    """Longest pause between two requests for the endpoint list."""
     listed_rates: bool
+    """Whether the endpoint list states each destination's rate."""
     rates_are_rough: bool
+    """Whether these rates are estimates."""
     report_fields: tuple[str, ...]
+    """Names of the load values in an endpoint's report, in the order of `AttemptEnded.report`."""
     decay: Decay
     over_share_worth: float
+    """Worth of a tenant's messages beyond its allowance, relative to those within it."""
     answer_slack: float
+    """Seconds after its due time by which a message must have its final answer."""
     drain_grace: float
+    """Seconds for which an endpoint may still be called after it began to drain."""
     warmup_start_share: float
+    """Share of its capacity that a recovering destination has when it comes back."""
     warmup_seconds: float
+    """Time in which this share rises to 1."""
     overload_multiple: float
+    """A recovering destination fails again above this multiple of its current capacity."""
     overload_window: float
+    """Seconds over which that load is measured."""
     order_pause: float
+    """Seconds before the next message of an ordering key, after an attempt that may still be running."""
     clock_resolution: float
+    """Seconds between two turns, at least: timers may fire this much late."""
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One line of the endpoint list."""
+    """One entry of the endpoint list."""
 
     address: Address
     state: EndpointState
     kind: int
+    """Index in `Settings.kinds`."""
     destination: int
     zone: int
+    """Index in `Settings.zones`."""
     rate: float
+    """Calls per second that the destination accepts from all senders together, as listed."""
     added_at: float | None
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointsUpdated:
-    """News of the endpoint list."""
+    """An update of the endpoint list, or the failure to get one."""
 
     scope: UpdateScope
     version: int
     endpoints: tuple[Endpoint, ...]
     silent_for: float = -math.inf
-    """Of one that failed: seconds since the service, which took the call, was heard; 0 if not reached.
+    """FAILED only: seconds since discovery last sent something on this call; 0 if it was not reached.
 
-    What it is where nobody can tell stands for that.
+    The default means unknown.
     """
     list_age: float = math.inf
-    """Of one that failed: seconds since the list was last known to be the newest, by any call; as above."""
+    """FAILED only: seconds since any call last confirmed the list as current. The default means unknown."""
 
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A message was handed in; the sender now owes it exactly one final answer.
+    """A message was accepted; the sender must give it exactly one final answer.
 
-    The last two tell what an earlier life of this sender did with one that outlived it.
+    `attempts` and the two fields after it describe what the previous process of this sender did with a
+    message that it left pending.
     """
 
     message: int
@@ -182,19 +227,22 @@
     tenant: int = 0
     key: int | None = None
     work_hint: float | None = None
+    """Expected work of the message, if the client stated it."""
     is_retry: bool = False
+    """The client submitted it before."""
     from_dead_sender: bool = False
+    """The sender that the client submitted it to before has stopped."""
     is_write: bool = False
     attempts: int = 0
     may_have_run_at: float | None = None
-    """When the first attempt that may have run was sent."""
+    """Time at which the first attempt that may have run was sent."""
     may_have_run_zone: int | None = None
-    """The zone of the endpoint that it was sent to, where that is still known."""
+    """Zone of the endpoint that this attempt was sent to, if still known."""
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt now belongs to the client."""
+    """A streamed response has begun; from now on the attempt is the client's."""
 
     message: int
     endpoint: Address
@@ -204,7 +252,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The outcome of one attempt. `final` is set if the message is over."""
+    """The outcome of one attempt. `final` is set if the message is finished."""
 
     message: int
     endpoint: Address
@@ -214,19 +262,21 @@
     outcome: Outcome
     retry_after: float | None = None
     no_free_slot: bool = False
+    """The endpoint answered that it had no free slot for the call."""
     report: tuple[float, ...] = ()
+    """Load values reported by the endpoint, in the order of `Settings.report_fields`."""
 
 
 @dataclass(slots=True, frozen=True)
 class MessageWithdrawn:
-    """Nobody waits for this message any more; no answer is owed."""
+    """The client no longer waits for this message; it needs no final answer."""
 
     message: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that the sender set has come due."""
+    """A timer set with `SetTimer` has expired."""
 
     token: int
 
@@ -243,7 +293,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Another sender has sent bytes."""
+    """Gossip received from another sender."""
 
     sender: int
     data: bytes
@@ -251,10 +301,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings are in force from here on.
+    """New settings are in force from this event on.
 
-    Classes, kinds, tenants and zones keep the positions that they had under their names, those that went
-    included.
+    Classes, kinds, tenants and zones keep the position that they had under their name. Removed ones stay in
+    the list.
     """
 
     settings: Settings
@@ -275,9 +325,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Call an endpoint with a message; `give_up_at` of None means the message's deadline.
+    """Send a message to an endpoint; without `give_up_at` the call times out at the message's deadline.
 
-    A call that cannot have left in whole by `write_deadline` must not leave: its effect might come twice.
+    A call must not be sent unless it is written completely by `write_deadline`: after it the destination may
+    no longer recognize a repeat, and the effect might happen twice.
     """
 
     message: int
@@ -288,7 +339,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Stop waiting for the outcome of one attempt."""
 
     message: int
     attempt: int
@@ -296,7 +347,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not delivered, and handing it in again is harmless."""
+    """Final answer: not delivered, and safe for the client to submit again."""
 
     message: int
     retry_after: float | None = None
@@ -304,14 +355,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, with nothing said of its effect."""
+    """Final answer: failed; the message may or may not have taken effect."""
 
     message: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Request a `TimerFired` after a delay."""
 
     delay: float
     token: int
@@ -319,19 +370,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask discovery for changes from now on, or stop asking."""
+    """Start or stop watching discovery for changes of the endpoint list."""
 
     on: bool
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Ask discovery once for the whole list."""
+    """Request the whole endpoint list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Check an endpoint."""
+    """Send a health check to an endpoint."""
 
     endpoint: Address
 
@@ -345,7 +396,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TellPeer:
-    """Send bytes to one peer, or to all of them."""
+    """Gossip to one peer, or to all of them if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -353,7 +404,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """A log line for the operators."""
 
     text: str
 
--- a/irisstack/settings.py
+++ b/irisstack/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings object as `interface.Settings`, for the bench's wire and the node alike.
+"""Parses the platform's settings object into `interface.Settings`, for the simulator's adapter and the node.
 
-Translation only: unknown keys are skipped, absent ones mean what the wire's page says.
+Unknown keys are ignored; the defaults of absent keys are those of the simulator's protocol.
 """
 
 import math
@@ -13,34 +13,34 @@
 DEDUP_SCOPES = {"all": DedupScope.DESTINATION, "zone": DedupScope.ZONE}
 DECAYS = {"even": Decay.LINEAR, "by_half": Decay.HALVING}
 
-LONGEST_SHOWN = 80
-"""Characters of a value that an error repeats."""
+MAX_QUOTED_LENGTH = 80
+"""Characters of a value that an error message quotes."""
 
 
 class SettingsError(Exception):
-    """A key that is missing or holds what it may not; the text begins with its whole path."""
+    """A key is missing or has an invalid value; the message begins with the key's full path."""
 
 
 def _is_finite(value: float) -> bool:
-    """Whether it is a number that a float can hold."""
+    """Whether the value is finite as a float; an integer may be too large for one."""
     try:
         return math.isfinite(value)
     except OverflowError:
         return False
 
 
-def _shown(value: object) -> str:
-    """A value in an error of one line."""
-    text = repr(value) if not isinstance(value, int) or value.bit_length() < 64 else "a number far too large"
-    return text if len(text) <= LONGEST_SHOWN else f"{text[:LONGEST_SHOWN]}..."
+def _quoted(value: object) -> str:
+    """The value as quoted in an error message of one line."""
+    text = repr(value) if not isinstance(value, int) or value.bit_length() < 64 else "a number out of range"
+    return text if len(text) <= MAX_QUOTED_LENGTH else f"{text[:MAX_QUOTED_LENGTH]}..."
 
 
 class Reader:
-    """One JSON object, read key by key."""
+    """Reads the keys of one JSON object and checks their types."""
 
     def __init__(self, raw: object, path: str = "") -> None:
         if not isinstance(raw, Mapping):
-            raise SettingsError(f"{path or 'the document'}: an object is due, not {type(raw).__name__}")
+            raise SettingsError(f"{path or 'the document'}: expected an object, got {type(raw).__name__}")
         self._raw: Mapping[str, Any] = raw
         self._path = path
 
@@ -48,50 +48,50 @@
         return f"{self._path}.{key}" if self._path else key
 
     def value(self, key: str) -> Any:
-        """Whatever stands there; `None` if nothing does."""
+        """The unchecked value; `None` if the key is absent."""
         return self._raw.get(key)
 
     def number(self, key: str, default: float | None = None) -> float:
         value = self._raw.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not _is_finite(value):
-            raise SettingsError(f"{self.path(key)}: a number is due, not {_shown(value)}")
+            raise SettingsError(f"{self.path(key)}: expected a number, got {_quoted(value)}")
         return float(value)
 
     def integer(self, key: str, default: int | None = None) -> int:
         value = self.number(key, default)
         if value != int(value):
-            raise SettingsError(f"{self.path(key)}: a whole number is due, not {value!r}")
+            raise SettingsError(f"{self.path(key)}: expected an integer, got {value!r}")
         return int(value)
 
     def boolean(self, key: str, default: bool = False) -> bool:
         value = self._raw.get(key, default)
         if not isinstance(value, bool):
-            raise SettingsError(f"{self.path(key)}: true or false is due, not {value!r}")
+            raise SettingsError(f"{self.path(key)}: expected true or false, got {value!r}")
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self._raw.get(key, default)
         if not isinstance(value, str):
-            raise SettingsError(f"{self.path(key)}: a text is due, not {value!r}")
+            raise SettingsError(f"{self.path(key)}: expected a string, got {value!r}")
         return value
 
     def items(self, key: str) -> list[Any]:
         value = self._raw.get(key, [])
         if not isinstance(value, list):
-            raise SettingsError(f"{self.path(key)}: a list is due, not {type(value).__name__}")
+            raise SettingsError(f"{self.path(key)}: expected a list, got {type(value).__name__}")
         return value
 
     def per_name(self, key: str, names: Sequence[str], default: Any) -> list[Any]:
-        """A list with a value for each of the names, filled up with the default where it is shorter."""
+        """A list with one value per name; a shorter list is padded with the default."""
         values = self.items(key)
         if names and len(values) > len(names):
-            raise SettingsError(f"{self.path(key)}: {len(names)} values at most are due, not {len(values)}")
+            raise SettingsError(f"{self.path(key)}: expected at most {len(names)} values, got {len(values)}")
         return [*values, *[default] * len(names)][: len(names)]
 
     def texts(self, key: str) -> list[str]:
         for i, value in enumerate(self.items(key)):
             if not isinstance(value, str):
-                raise SettingsError(f"{self.path(key)}[{i}]: a text is due, not {value!r}")
+                raise SettingsError(f"{self.path(key)}[{i}]: expected a string, got {value!r}")
         return self.items(key)
 
     def section(self, key: str) -> "Reader":
@@ -103,31 +103,38 @@
     def one_of(self, key: str, table: Mapping[str, Any]) -> Any:
         name = self.text(key)
         if name not in table:
-            raise SettingsError(f"{self.path(key)}: one of {', '.join(table)} is due, not {name!r}")
+            raise SettingsError(f"{self.path(key)}: expected one of {', '.join(table)}, got {name!r}")
         return table[name]
 
 
 def read(raw: Reader) -> Settings:
-    """The settings from the object that an instance is handed."""
-    allowed, extra, rules, report, tariffs = (
+    """Parse the settings object; raises `SettingsError`."""
+    allowed, extra, invariants, report, tariffs = (
         raw.section(key) for key in ("allowed", "extra", "invariants", "report", "tariffs")
     )
     names, zones = raw.texts("shapes"), raw.texts("failureDomains")
-    batches, apart = extra.per_name("batchByKind", names, 1), extra.per_name("separateRoutes", names, False)
-    for i, (most, alone) in enumerate(zip(batches, apart, strict=True)):
-        if isinstance(most, bool) or not isinstance(most, int) or most < 1:
-            raise SettingsError(f"{extra.path('batchByKind')}[{i}]: 1 or more is due, not {most!r}")
-        if not isinstance(alone, bool):
-            raise SettingsError(f"{extra.path('separateRoutes')}[{i}]: true or false is due, not {alone!r}")
-    kinds = tuple(map(DestinationKind, names, batches, apart))
+    max_batches, separate_routes = (
+        extra.per_name("batchByKind", names, 1),
+        extra.per_name("separateRoutes", names, False),
+    )
+    for i, (max_batch, separate) in enumerate(zip(max_batches, separate_routes, strict=True)):
+        if isinstance(max_batch, bool) or not isinstance(max_batch, int) or max_batch < 1:
+            raise SettingsError(
+                f"{extra.path('batchByKind')}[{i}]: expected an integer of at least 1, got {max_batch!r}"
+            )
+        if not isinstance(separate, bool):
+            raise SettingsError(
+                f"{extra.path('separateRoutes')}[{i}]: expected true or false, got {separate!r}"
+            )
+    kinds = tuple(map(DestinationKind, names, max_batches, separate_routes))
     zone, cross_zone_price = raw.integer("az", 0), tariffs.number("crossZone", 0.0)
     if zone < 0 or zone >= max(1, len(zones)):
-        raise SettingsError(f"{raw.path('az')}: the place of one of {len(zones)} zones is due, not {zone}")
+        raise SettingsError(f"{raw.path('az')}: expected the index of one of {len(zones)} zones, got {zone}")
     if cross_zone_price < 0.0:
-        raise SettingsError(f"{tariffs.path('crossZone')}: 0 or more is due, not {cross_zone_price!r}")
+        raise SettingsError(f"{tariffs.path('crossZone')}: expected 0 or more, got {cross_zone_price!r}")
     classes = tuple(message_class(lane) for lane in raw.sections("lanes"))
     if not classes:
-        raise SettingsError(f"{raw.path('lanes')}: at least one class is due")
+        raise SettingsError(f"{raw.path('lanes')}: expected at least one class, got none")
     return Settings(
         classes=classes,
         kinds=kinds,
@@ -150,30 +157,32 @@
         keepalive=allowed.number("keepalive", 0.0),
         calls_per_connection=allowed.integer("multiplex", 1),
         discovery_on_request=raw.text("discovery", "pushed") == "on_request",
-        list_refresh_interval=rules.number("askWithin") if rules.value("askWithin") is not None else None,
+        list_refresh_interval=invariants.number("askWithin")
+        if invariants.value("askWithin") is not None
+        else None,
         listed_rates=raw.text("weights", "off") in ("nominal", "rough"),
         rates_are_rough=raw.text("weights", "off") == "rough",
         report_fields=tuple(report.texts("names")) if report.text("how", "off") != "off" else (),
         decay=DECAYS.get(extra.text("fades", "even"), Decay.LINEAR),
         over_share_worth=raw.number("overShareWorth", 1.0),
-        answer_slack=rules.number("answerSlack", 0.0),
-        drain_grace=rules.number("drainGrace", 0.0),
-        warmup_start_share=rules.number("startCapacity", 1.0),
-        warmup_seconds=rules.number("cold", 0.0),
-        overload_multiple=rules.number("tipMultiple", 1.0),
-        overload_window=rules.number("fall", 0.0),
-        order_pause=rules.number("orderPause", 0.0),
+        answer_slack=invariants.number("answerSlack", 0.0),
+        drain_grace=invariants.number("drainGrace", 0.0),
+        warmup_start_share=invariants.number("startCapacity", 1.0),
+        warmup_seconds=invariants.number("cold", 0.0),
+        overload_multiple=invariants.number("tipMultiple", 1.0),
+        overload_window=invariants.number("fall", 0.0),
+        order_pause=invariants.number("orderPause", 0.0),
         clock_resolution=raw.number("resolution", 0.0),
     )
 
 
 def tenant(item: Reader) -> Tenant:
-    """One tenant from its object."""
+    """Parse one item of `tenants`."""
     return Tenant(item.text("name"), item.number("allowancePerS", 0.0), item.number("share", 0.0))
 
 
 def message_class(lane: Reader) -> MessageClass:
-    """One class from its object."""
+    """Parse one item of `lanes`, a message class."""
     return MessageClass(
         name=lane.text("name"),
         effect=lane.one_of("repeat", EFFECTS),
