--- a/irisstack/shadow.py
+++ b/irisstack/shadow.py
@@ -36,46 +36,47 @@
         super().__init__(settings, seed)
         self._trial = trial
         self._count = count
-        self._tells = trial.may_gossip and not settings.may_gossip
-        self._trial_home = trial.zone if trial.cross_zone_price else None
+        self._trial_adds_gossip = trial.may_gossip and not settings.may_gossip
+        self._trial_home_zone = trial.zone if trial.cross_zone_price else None
 
     def _record_failure(
-        self, limit: BreakerScope, reason: api.Outcome | None, from_gossip: bool = False
+        self, scope: BreakerScope, reason: api.Outcome | None, from_gossip: bool = False
     ) -> bool:
-        breaker = self._breakers.get(limit)
-        counts = breaker is None or self._now >= breaker.open_until
-        before = breaker.failures if breaker is not None and self._now < breaker.window_end else 0
-        opened = super()._record_failure(limit, reason, from_gossip)
-        if self._tells and counts and reason not in (api.Outcome.FULL, api.Outcome.RESET):
+        breaker = self._breakers.get(scope)
+        counted = breaker is None or self._now >= breaker.open_until
+        failures_before = breaker.failures if breaker is not None and self._now < breaker.window_end else 0
+        opened = super()._record_failure(scope, reason, from_gossip)
+        if self._trial_adds_gossip and counted and reason not in (api.Outcome.FULL, api.Outcome.RESET):
             self._count(Divergence.NOTE)
-        if self._tells and opened and before + 1 < FAILURE_THRESHOLD:
+        if self._trial_adds_gossip and opened and failures_before + 1 < FAILURE_THRESHOLD:
             self._count(Divergence.OPENED_ALONE)
         return opened
 
     def _should_keep_connection(self, message: Message) -> bool:
         keep = super()._should_keep_connection(message)
-        if self._tells and not keep:
+        if self._trial_adds_gossip and not keep:
             self._count(Divergence.CONNECTION_CLOSED)
         return keep
 
-    def _send_call(self, line: DestinationQueue) -> None:
-        free = [route for route in line.routes() if self._route_available_at(route) <= self._now]
-        before = len(self._actions)
-        super()._send_call(line)
-        if self._trial_home in (None, self._home_zone):
+    def _send_call(self, queue: DestinationQueue) -> None:
+        available = [route for route in queue.routes() if self._route_available_at(route) <= self._now]
+        actions_before = len(self._actions)
+        super()._send_call(queue)
+        if self._trial_home_zone in (None, self._home_zone):
             return
-        sent = next(act for act in self._actions[before:] if isinstance(act, api.Send))
-        index = self._messages[sent.message].class_index
-        home = [
+        sent = next(act for act in self._actions[actions_before:] if isinstance(act, api.Send))
+        class_index = self._messages[sent.message].class_index
+        home_endpoints = [
             route.address
-            for route in free
-            if route.zone == self._trial_home and route.avoid_until.get(index, 0.0) <= self._now
+            for route in available
+            if route.zone == self._trial_home_zone and route.avoid_until.get(class_index, 0.0) <= self._now
         ]
-        if home and sent.endpoint not in home:
+        if home_endpoints and sent.endpoint not in home_endpoints:
             self._count(Divergence.OTHER_ZONE)
 
     def _give_up(self, message: Message) -> None:
-        kind = message.message_class
+        message_class = message.message_class
+        # The latest start of an attempt depends on the class, so it is computed again under the trial class.
         if message.maybe_ran is not None and self._latest_attempt_start(message) < self._now:
             message.message_class = self._trial.classes[message.class_index]
             if (
@@ -83,5 +84,5 @@
                 and self._latest_attempt_start(message) >= self._now
             ):
                 self._count(Divergence.GIVEN_UP)
-            message.message_class = kind
+            message.message_class = message_class
         super()._give_up(message)
