--- a/irisstack/shadow.py
+++ b/irisstack/shadow.py
@@ -1,7 +1,7 @@
-"""Counts where a deployment's new settings would have decided otherwise. What is decided stays as it was.
+"""Shadow evaluation: counts where trial settings would have led to another decision.
 
-The module's settings in force decide; beside each decision stands what the settings on trial would have made
-of it. Nothing is sent, answered, recorded or waited for on their account.
+The settings in force decide as before. Each decision is compared with the one under the trial settings, which
+cause no calls, answers, records or delays of their own.
 """
 
 from collections.abc import Callable
@@ -13,22 +13,22 @@
 
 
 class Divergence(StrEnum):
-    """What would have gone otherwise."""
+    """A decision that the trial settings would have changed; the value is the name of its counter."""
 
     NOTE = "watch_note"
-    """A failure would have been told to the other senders."""
+    """A failure would have been gossiped to the other senders."""
     OPENED_ALONE = "watch_opened_alone"
-    """A breaker was opened by fewer failures than all senders together would have waited for."""
+    """A breaker opened after fewer failures than with gossip, which counts those of all senders."""
     CONNECTION_CLOSED = "watch_connection_closed"
-    """A connection was given back that would have been kept."""
+    """A connection was closed that would have been kept."""
     OTHER_ZONE = "watch_other_zone"
-    """A call went to another zone though an endpoint of the own one could have taken it."""
+    """A call went to another zone although an endpoint in the trial settings' own zone was available."""
     GIVEN_UP = "watch_given_up"
-    """A message was given up that could have had another attempt."""
+    """A message was given up that would have had another attempt."""
 
 
 class ShadowSender(Sender):
-    """A sender that decides by its settings and watches for where those on trial differ."""
+    """A sender that decides by its settings and counts where the trial settings differ."""
 
     def __init__(
         self, settings: api.Settings, trial: api.Settings, seed: int, count: Callable[[Divergence], None]
--- a/tests/test_deployment_shapes.py
+++ b/tests/test_deployment_shapes.py
@@ -1,4 +1,7 @@
-"""One small test for each assumption on a deployment's shape that fell, and for the mode that watches."""
+"""Deployments that differ from the common one in zones, routes, fleet size or gossip; shadow evaluation.
+
+Each test guards an assumption about deployments that once held and no longer does.
+"""
 
 from collections import Counter
 from dataclasses import replace
@@ -50,14 +53,16 @@
     driver.turn(1.0, *(driver.message_received(n, 1.0, UNSAFE_INDEX) for n in (1, 2)))
     slow, fast = (1, 2) if driver.last_endpoint[1] == address(2) else (2, 1)
     driver.end_attempt(fast, OK, 1.2)
-    at = driver.deliver(10, 6, 1.3)  # all at the route that answers: the other's call is out
+    at = driver.deliver(10, 6, 1.3)  # all on the route that answers: the other still has a call in flight
     driver.turn(at + 3.0)
     driver.submit(50, driver.now, UNSAFE_INDEX)
-    assert driver.last_endpoint[50] == address(1), "an answer from one route does not hide another's silence"
+    assert driver.last_endpoint[50] == address(1), (
+        "an answer on one route does not hide that the other is silent"
+    )
     driver.end_attempt(slow, FULL, driver.now + 0.1)
     driver.end_attempt(50, FULL, driver.now + 0.1)
     assert driver.run_until_sent(50, 2) - driver.now < 0.2, (
-        "40 calls a second there, not the one of the last route"
+        "paced by its own rate of 40 calls/s, not by the 1 call/s of the other route"
     )
 
 
@@ -94,7 +99,9 @@
     assert driver.gossip_sent == [(1.1, b"F\x01")]
     receive_gossip(driver, b"F", GOSSIP_FAILURE_THRESHOLD - 2, 1.2)
     driver.submit(2, 1.3, UNSAFE_INDEX)
-    assert driver.send_times(2) == [1.3], "one failure of its own opens nothing"
+    assert driver.send_times(2) == [1.3], (
+        "fewer failures than the threshold, one of them local, do not open the breaker"
+    )
     driver.end_attempt(2, OK, 1.35)
     assert (1.35, b"S\x01") in driver.gossip_sent
     receive_gossip(driver, b"F", GOSSIP_FAILURE_THRESHOLD, 1.5)
@@ -105,7 +112,7 @@
     assert driver.run_until_sent(3) > 1.5 + OPEN_DURATION
     driver.turn(driver.now, *(driver.message_received(n, driver.now) for n in range(10, 16)))
     driver.turn(driver.now + 2.0)
-    assert sum(bool(driver.send_times(n)) for n in range(10, 16)) < 6, "what returns is not pushed"
+    assert sum(bool(driver.send_times(n)) for n in range(10, 16)) < 6, "a recovering destination is warmed up"
 
 
 def test_a_sender_with_few_calls_takes_refusals_for_an_outage_only_with_gossip() -> None:
@@ -127,7 +134,7 @@
 
 
 @pytest.mark.parametrize(
-    "notes",
+    "datagrams",
     [
         ([b"F\x01"] * (GOSSIP_FAILURE_THRESHOLD - 1) + [b"S\x01"]) * 3,
         [b"", b"F", b"F\x07", b"?\x01", b"S" * 256],
--- a/tests/test_settings_event.py
+++ b/tests/test_settings_event.py
@@ -1,4 +1,4 @@
-"""Settings that change between two turns, through `Sender.turn`."""
+"""Decisions of a sender whose settings change between or within turns (`SettingsChanged`)."""
 
 from dataclasses import replace
 
@@ -68,7 +68,7 @@
     change_settings(driver, 1.0, replace(SETTINGS, classes=(*SETTINGS.classes, added)))
     driver.turn(1.0, api.MessageReceived(1, len(SETTINGS.classes), 1, 5.0))
     assert driver.send_times(1) == [1.0]
-    driver.end_attempt(1, Outcome.ERROR, 1.2)  # a failure looks at each class that there is
+    driver.end_attempt(1, Outcome.ERROR, 1.2)  # counting a failure iterates over all classes
     driver.turn(1.3, api.MessageReceived(2, len(SETTINGS.classes), 1, 5.3))
     assert 2 in driver.attempts
 
@@ -96,7 +96,7 @@
     assert not driver.cancelled
     for number in range(1, 5):
         driver.end_attempt(number, Outcome.OK, 1.3)
-    assert len(driver.sends) == 7, "two out of the first six are left, and one more may go"
+    assert len(driver.sends) == 7, "two of the first six calls are still in flight, so one more may be sent"
     change_settings(driver, 1.4, SETTINGS)
     driver.turn(1.5)
     assert len(driver.sends) == 9
@@ -111,7 +111,7 @@
     assert not driver.refused
     assert not driver.failed
     driver.submit(20, 1.3)
-    assert len(driver.refused) == 1, "one that comes now is one too many"
+    assert len(driver.refused) == 1, "the new message exceeds the limit"
 
 
 def test_a_lower_attempt_limit_counts_when_a_message_is_queued_again() -> None:
@@ -147,7 +147,9 @@
         driver.submit(number, 0.1)
     change_settings(driver, 0.2, settings)
     driver.end_attempt(1, Outcome.OK, 0.3)
-    assert [send.message for _, send in driver.sends[1:]] == [2, 3], "a call takes two, where it took five"
+    assert [send.message for _, send in driver.sends[1:]] == [2, 3], (
+        "a batch call carries at most two messages, five before the change"
+    )
 
 
 def test_the_own_zone_is_preferred_once_crossing_zones_costs() -> None:
