--- a/irisstack/benchlink/codec.py
+++ b/irisstack/benchlink/codec.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Launch:
+class InstanceStarted:
     """An instance starts."""
 
     seed: int
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PowerOff:
+class InstanceKilled:
     """An instance is killed without notice."""
 
 
@@ -60,57 +60,57 @@
 
     clock: float
     number: int
-    records: list[tuple[int, Event | Launch | PowerOff]]
+    records: list[tuple[int, Event | InstanceStarted | InstanceKilled]]
 
 
-HEADER = struct.Struct(">IdII")
+BATCH_HEADER = struct.Struct(">IdII")
 REPLY_HEADER = struct.Struct(">III")
-RECORD = struct.Struct(">BI")
-LAUNCH = struct.Struct(">IQI")
-MANIFEST = struct.Struct(">HI")
-ENTRY = struct.Struct(">4sHBBdfHH")
-UPDATE = struct.Struct(">IBQH")
-KNOCK = struct.Struct(">IIBIQddfB")
-ESTABLISHED = struct.Struct(">II4sHBd")
-REPLY = struct.Struct(">II4sHBdBIHB")
-RID = struct.Struct(">II")
-TIMER_HIT = struct.Struct(">IQ")
-HEALTH = struct.Struct(">I4sHHdB")
-BYTES = struct.Struct(">IIH")
+RECORD_HEADER = struct.Struct(">BI")
+INSTANCE_STARTED = struct.Struct(">IQI")
+ENDPOINT_LIST = struct.Struct(">HI")
+LIST_ENTRY = struct.Struct(">4sHBBdfHH")
+LIST_UPDATE = struct.Struct(">IBQH")
+MESSAGE_RECEIVED = struct.Struct(">IIBIQddfB")
+STREAM_STARTED = struct.Struct(">II4sHBd")
+ATTEMPT_ENDED = struct.Struct(">II4sHBdBIHB")
+MESSAGE_ID = struct.Struct(">II")
+TIMER_FIRED = struct.Struct(">IQ")
+PROBE_ENDED = struct.Struct(">I4sHHdB")
+PEER_DATA = struct.Struct(">IIH")
 INSTANCE = struct.Struct(">I")
-ISSUE = struct.Struct(">II4sHd")
-CALL_OFF = struct.Struct(">IIB")
-REFUSAL = struct.Struct(">IId")
-TIMER = struct.Struct(">IdQ")
-TRACK = struct.Struct(">IB")
+SEND = struct.Struct(">II4sHd")
+CANCEL = struct.Struct(">IIB")
+REFUSE = struct.Struct(">IId")
+SET_TIMER = struct.Struct(">IdQ")
+SUBSCRIBE = struct.Struct(">IB")
 TO_ENDPOINT = struct.Struct(">I4sH")
 TEXT = struct.Struct(">IH")
 
-EVERY_PEER = 0xFFFFFFFF
-SCOPES = (UpdateScope.DELTA, UpdateScope.FULL, UpdateScope.CACHED, UpdateScope.FAILED)
-STATES = {0: EndpointState.READY, 1: EndpointState.DRAINING, 3: EndpointState.GONE}
+ALL_PEERS = 0xFFFFFFFF
+UPDATE_SCOPES = (UpdateScope.DELTA, UpdateScope.FULL, UpdateScope.CACHED, UpdateScope.FAILED)
+ENDPOINT_STATES = {0: EndpointState.READY, 1: EndpointState.DRAINING, 3: EndpointState.GONE}
 OUTCOMES = tuple(Outcome)
 
 
-def _take(form: struct.Struct, body: memoryview, exact: bool = True) -> tuple[Any, ...]:
+def _unpack(layout: struct.Struct, body: memoryview, exact: bool = True) -> tuple[Any, ...]:
     """Unpack a record's fixed fields; with `exact` nothing may follow them. Raises `WireError`."""
-    if len(body) < form.size or (exact and len(body) != form.size):
+    if len(body) < layout.size or (exact and len(body) != layout.size):
         raise WireError(f"a record's fields take {len(body)} bytes where {form.size} are due")
-    return form.unpack_from(body)
+    return layout.unpack_from(body)
 
 
-def _tail(form: struct.Struct, body: memoryview, length: int) -> memoryview:
+def _variable_part(layout: struct.Struct, body: memoryview, length: int) -> memoryview:
     """The variable-length content after a record's fixed fields; raises `WireError` if its length differs."""
-    if len(body) != form.size + length:
+    if len(body) != layout.size + length:
         raise WireError(f"a record's content takes {len(body) - form.size} bytes where {length} are due")
-    return body[form.size :]
+    return body[layout.size :]
 
 
-def _floats(form: struct.Struct, body: memoryview, count: int) -> tuple[float, ...]:
-    return struct.unpack(f">{count}f", _tail(form, body, 4 * count))
+def _floats(layout: struct.Struct, body: memoryview, count: int) -> tuple[float, ...]:
+    return struct.unpack(f">{count}f", _variable_part(layout, body, 4 * count))
 
 
-def _one_of(table: Any, value: Any, what: str) -> Any:
+def _lookup(table: Any, value: Any, description: str) -> Any:
     try:
         return table[value]
     except (KeyError, IndexError):
@@ -123,107 +123,124 @@
     def __init__(self) -> None:
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def batch(self, payload: bytes) -> Batch:
+    def decode(self, payload: bytes) -> Batch:
         """Decode a batch without its length field; raises `WireError`."""
-        if len(payload) < HEADER.size - 4:
+        if len(payload) < BATCH_HEADER.size - 4:
             raise WireError("a batch is shorter than its header")
         clock, count, number = struct.unpack_from(">dII", payload)
         view = memoryview(payload)
-        at = HEADER.size - 4
-        records: list[tuple[int, Event | Launch | PowerOff]] = []
+        offset = BATCH_HEADER.size - 4
+        records: list[tuple[int, Event | InstanceStarted | InstanceKilled]] = []
         for _ in range(count):
-            if len(view) < at + RECORD.size:
+            if len(view) < offset + RECORD_HEADER.size:
                 raise WireError("a batch ends inside a record's head")
-            code, length = RECORD.unpack_from(view, at)
-            at += RECORD.size
-            if len(view) < at + length:
+            code, length = RECORD_HEADER.unpack_from(view, offset)
+            offset += RECORD_HEADER.size
+            if len(view) < offset + length:
                 raise WireError("a batch ends inside a record")
-            record = self._record(code, view[at : at + length])
+            record = self._decode_record(code, view[offset : offset + length])
             if record is not None:
                 records.append(record)
-            at += length
-        if at != len(view):
+            offset += length
+        if offset != len(view):
             raise WireError("bytes follow a batch's last record")
         return Batch(clock, number, records)
 
-    def _record(self, code: int, body: memoryview) -> tuple[int, Event | Launch | PowerOff] | None:
+    def _decode_record(
+        self, code: int, body: memoryview
+    ) -> tuple[int, Event | InstanceStarted | InstanceKilled] | None:
         match code:
             case 1:
-                instance, seed, length = _take(LAUNCH, body, exact=False)
-                return instance, Launch(seed, settings(bytes(_tail(LAUNCH, body, length))))
+                instance, seed, length = _unpack(INSTANCE_STARTED, body, exact=False)
+                return instance, InstanceStarted(
+                    seed, parse_settings(bytes(_variable_part(INSTANCE_STARTED, body, length)))
+                )
             case 2:
-                instance, scope, version, list_number = _take(UPDATE, body)
-                scope = _one_of(SCOPES, scope, "update scope")
+                instance, scope, version, list_number = _unpack(LIST_UPDATE, body)
+                scope = _lookup(UPDATE_SCOPES, scope, "update scope")
                 entries: tuple[Endpoint, ...] = ()
                 if scope is not UpdateScope.FAILED:
-                    entries = _one_of(self._lists, list_number, "endpoint list")
+                    entries = _lookup(self._lists, list_number, "endpoint list")
                 return instance, EndpointsUpdated(scope, version, entries)
             case 3:
-                instance, rid, lane, customer, subject, due, effort, dest, bits = _take(KNOCK, body)
-                hint = effort if bits & 1 else None
+                instance, message, message_class, tenant, key, due, work, destination, flags = _unpack(
+                    MESSAGE_RECEIVED, body
+                )
+                work_hint = work if flags & 1 else None
                 return instance, MessageReceived(
-                    rid,
-                    lane,
-                    int(dest),
+                    message,
+                    message_class,
+                    int(destination),
                     due,
-                    customer,
-                    subject or None,
-                    hint,
-                    bool(bits & 2),
-                    bool(bits & 16),
-                    bool(bits & 4),
+                    tenant,
+                    key or None,
+                    work_hint,
+                    bool(flags & 2),
+                    bool(flags & 16),
+                    bool(flags & 4),
                 )
             case 4:
-                instance, rid, host, port, attempt, elapsed = _take(ESTABLISHED, body)
-                return instance, StreamStarted(rid, (host, port), attempt, elapsed)
+                instance, message, host, port, attempt, elapsed = _unpack(STREAM_STARTED, body)
+                return instance, StreamStarted(message, (host, port), attempt, elapsed)
             case 5:
-                fields = _take(REPLY, body, exact=False)
-                instance, rid, host, port, attempt, elapsed, final, note, result, n = fields
-                outcome = _one_of(OUTCOMES, result, "outcome")
-                retry_after = note / 1000.0 if outcome is Outcome.FULL and note else None
-                no_slot = outcome is Outcome.NOT_SENT and note == 1
+                fields = _unpack(ATTEMPT_ENDED, body, exact=False)
+                instance, message, host, port, attempt, elapsed, final, detail, outcome_code, count = fields
+                outcome = _lookup(OUTCOMES, outcome_code, "outcome")
+                retry_after = detail / 1000.0 if outcome is Outcome.FULL and detail else None
+                no_free_slot = outcome is Outcome.NOT_SENT and detail == 1
                 return instance, AttemptEnded(
-                    rid,
+                    message,
                     (host, port),
                     attempt,
                     elapsed,
                     bool(final),
                     outcome,
                     retry_after,
-                    no_slot,
-                    _floats(REPLY, body, n),
+                    no_free_slot,
+                    _floats(ATTEMPT_ENDED, body, count),
                 )
             case 6:
-                instance, rid = _take(RID, body)
-                return instance, MessageWithdrawn(rid)
+                instance, message = _unpack(MESSAGE_ID, body)
+                return instance, MessageWithdrawn(message)
             case 7:
-                instance, token = _take(TIMER_HIT, body)
+                instance, token = _unpack(TIMER_FIRED, body)
                 return instance, TimerFired(token)
             case 8:
-                instance, host, port, result, elapsed, n = _take(HEALTH, body, exact=False)
+                instance, host, port, outcome_code, elapsed, count = _unpack(PROBE_ENDED, body, exact=False)
                 return instance, ProbeEnded(
-                    (host, port), _one_of(OUTCOMES, result, "outcome"), elapsed, _floats(HEALTH, body, n)
+                    (host, port),
+                    _lookup(OUTCOMES, outcome_code, "outcome"),
+                    elapsed,
+                    _floats(PROBE_ENDED, body, count),
                 )
             case 9:
-                instance, sender, length = _take(BYTES, body, exact=False)
-                return instance, PeerMessage(sender, bytes(_tail(BYTES, body, length)))
+                instance, sender, length = _unpack(PEER_DATA, body, exact=False)
+                return instance, PeerMessage(sender, bytes(_variable_part(PEER_DATA, body, length)))
             case 10:
-                return _take(INSTANCE, body)[0], PowerOff()
+                return _unpack(INSTANCE, body)[0], InstanceKilled()
             case 11:
-                number, count = _take(MANIFEST, body, exact=False)
-                self._lists[number] = tuple(_entries(_tail(MANIFEST, body, count * ENTRY.size)))
+                number, count = _unpack(ENDPOINT_LIST, body, exact=False)
+                self._lists[number] = tuple(
+                    _decode_entries(_variable_part(ENDPOINT_LIST, body, count * LIST_ENTRY.size))
+                )
                 return None
         raise WireError(f"unknown event code {code}")
 
 
-def _entries(body: memoryview) -> Iterable[Endpoint]:
-    for host, port, state, kind, added, rate, zone, dest in ENTRY.iter_unpack(body):
+def _decode_entries(body: memoryview) -> Iterable[Endpoint]:
+    for host, port, state, kind, added_at, rate, zone, destination in LIST_ENTRY.iter_unpack(body):
         yield Endpoint(
-            (host, port), _one_of(STATES, state, "endpoint state"), kind, dest, zone, rate, added or None
+            (host, port),
+            _lookup(ENDPOINT_STATES, state, "endpoint state"),
+            kind,
+            destination,
+            zone,
+            rate,
+            added_at or None,
         )
 
 
-def settings(text: bytes) -> Settings:
+def parse_settings(text: bytes) -> Settings:
     """Read the settings from their JSON text; raises `WireError`."""
     try:
         return read(Reader(json.loads(text)))
@@ -231,51 +248,51 @@
         raise WireError(f"the settings cannot be read: {error}") from None
 
 
-def _record(code: int, fields: bytes) -> bytes:
-    return RECORD.pack(code, len(fields)) + fields
+def _encode_record(code: int, fields: bytes) -> bytes:
+    return RECORD_HEADER.pack(code, len(fields)) + fields
 
 
-def _text(code: int, instance: int, text: str) -> bytes:
+def _encode_text(code: int, instance: int, text: str) -> bytes:
     data = text.encode()[:0xFFFF].decode(errors="ignore").encode()
-    return _record(code, TEXT.pack(instance, len(data)) + data)
+    return _encode_record(code, TEXT.pack(instance, len(data)) + data)
 
 
-def fault(instance: int, text: str) -> bytes:
+def encode_fault(instance: int, text: str) -> bytes:
     """Encode the report that the decision module has failed."""
-    return _text(67, instance, text)
+    return _encode_text(67, instance, text)
 
 
-def action(instance: int, act: Action) -> bytes:
+def encode_action(instance: int, action: Action) -> bytes:
     """Encode one action."""
-    match act:
+    match action:
         case Send(message, endpoint, give_up_at):
             host, port = endpoint
-            return _record(71, ISSUE.pack(instance, message, host, port, give_up_at or 0.0))
+            return _encode_record(71, SEND.pack(instance, message, host, port, give_up_at or 0.0))
         case SetTimer(delay, token):
-            return _record(76, TIMER.pack(instance, delay, token))
+            return _encode_record(76, SET_TIMER.pack(instance, delay, token))
         case Refuse(message, retry_after):
-            return _record(68, REFUSAL.pack(instance, message, retry_after or 0.0))
+            return _encode_record(68, REFUSE.pack(instance, message, retry_after or 0.0))
         case Fail(message):
-            return _record(69, RID.pack(instance, message))
+            return _encode_record(69, MESSAGE_ID.pack(instance, message))
         case Cancel(message, attempt):
-            return _record(72, CALL_OFF.pack(instance, message, attempt))
+            return _encode_record(72, CANCEL.pack(instance, message, attempt))
         case Subscribe(on):
-            return _record(66, TRACK.pack(instance, on))
+            return _encode_record(66, SUBSCRIBE.pack(instance, on))
         case FetchEndpoints():
-            return _record(75, INSTANCE.pack(instance))
+            return _encode_record(75, INSTANCE.pack(instance))
         case Probe(endpoint):
-            return _record(70, TO_ENDPOINT.pack(instance, *endpoint))
+            return _encode_record(70, TO_ENDPOINT.pack(instance, *endpoint))
         case CloseIdle(endpoint):
-            return _record(65, TO_ENDPOINT.pack(instance, *endpoint))
+            return _encode_record(65, TO_ENDPOINT.pack(instance, *endpoint))
         case TellPeer(peer, data):
-            to = EVERY_PEER if peer is None else peer
-            return _record(74, BYTES.pack(instance, to, len(data)) + data)
+            recipient = ALL_PEERS if peer is None else peer
+            return _encode_record(74, PEER_DATA.pack(instance, recipient, len(data)) + data)
         case Log(text):
-            return _text(73, instance, text)
-    assert_never(act)
+            return _encode_text(73, instance, text)
+    assert_never(action)
 
 
-def reply(number: int, records: list[bytes]) -> bytes:
+def encode_reply(number: int, records: list[bytes]) -> bytes:
     """Encode a reply frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(8 + len(body), len(records), number) + body
--- a/irisstack/benchlink/host.py
+++ b/irisstack/benchlink/host.py
@@ -10,14 +10,14 @@
 """Bytes; a frame that claims more is refused as malformed."""
 
 
-def _read(stream: BinaryIO, size: int) -> bytes:
+def _read_up_to(stream: BinaryIO, size: int) -> bytes:
     """Read exactly `size` bytes, or fewer at the end of the stream."""
     data = stream.read(size)
     while data and len(data) < size:
-        more = stream.read(size - len(data))
-        if not more:
+        chunk = stream.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
@@ -28,17 +28,17 @@
         self._decoder = codec.Decoder()
         self._senders: dict[int, Sender | None] = {}
 
-    def answer(self, payload: bytes) -> bytes:
+    def process(self, payload: bytes) -> bytes:
         """Process one batch (without its length field) and return the reply; raises `codec.WireError`."""
-        batch = self._decoder.batch(payload)
+        batch = self._decoder.decode(payload)
         events: dict[int, list[Event]] = {}
         records: list[bytes] = []
         for instance, event in batch.records:
             match event:
-                case codec.Launch(seed, settings):
+                case codec.InstanceStarted(seed, settings):
                     self._senders[instance] = Sender(settings, seed)
                     events[instance] = []
-                case codec.PowerOff():
+                case codec.InstanceKilled():
                     self._senders[instance] = None
                     events.pop(instance, None)
                 case _:
@@ -46,32 +46,35 @@
                         raise codec.WireError(f"an event for instance {instance}, which was never started")
                     if self._senders[instance] is not None:
                         events.setdefault(instance, []).append(event)
-        for instance, own in events.items():
+        for instance, instance_events in events.items():
             sender = self._senders[instance]
             assert sender is not None
             try:
-                records.extend(codec.action(instance, act) for act in sender.turn(batch.clock, own))
+                records.extend(
+                    codec.encode_action(instance, action)
+                    for action in sender.turn(batch.clock, instance_events)
+                )
             except Exception as error:  # whatever it is, the bench must learn the cause
-                records.append(codec.fault(instance, f"{type(error).__name__}: {error}"))
-        return codec.reply(batch.number, records)
+                records.append(codec.encode_fault(instance, f"{type(error).__name__}: {error}"))
+        return codec.encode_reply(batch.number, records)
 
 
-def main(source: BinaryIO, sink: BinaryIO, complaints: TextIO) -> int:
+def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
     """Answer batches until the input ends; returns the exit code: 0, or 2 for malformed input."""
     host = Host()
     try:
-        while head := _read(source, 4):
-            if len(head) < 4:
+        while length_field := _read_up_to(source, 4):
+            if len(length_field) < 4:
                 raise codec.WireError("the input ends inside a frame's length")
-            length = int.from_bytes(head, "big")
+            length = int.from_bytes(length_field, "big")
             if length > MAX_FRAME:
                 raise codec.WireError(f"a frame claims {length} bytes")
-            payload = _read(source, length)
+            payload = _read_up_to(source, length)
             if len(payload) < length:
                 raise codec.WireError("the input ends inside a frame")
-            sink.write(host.answer(payload))
+            sink.write(host.process(payload))
             sink.flush()
     except codec.WireError as error:
-        print(f"benchlink: {error}", file=complaints)
+        print(f"benchlink: {error}", file=errors)
         return 2
     return 0
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -9,20 +9,20 @@
 from irisstack import interface as api
 from irisstack.benchlink import codec
 
-HERE = (bytes([10, 18, 74, 7]), 5003)
-HERE_HEX = "0a124a07 138b"
+ADDRESS = (bytes([10, 18, 74, 7]), 5003)
+ADDRESS_HEX = "0a124a07 138b"
 
 
-def wire(text: str) -> bytes:
+def from_hex(text: str) -> bytes:
     return bytes.fromhex("".join(text.split()))
 
 
-def batch(*records: bytes, clock: float = 8.627, number: int = 12) -> bytes:
+def encode_batch(*records: bytes, clock: float = 8.627, number: int = 12) -> bytes:
     return struct.pack(">dII", clock, len(records), number) + b"".join(records)
 
 
 def decode(*records: bytes) -> list[tuple[int, Any]]:
-    return codec.Decoder().batch(batch(*records)).records
+    return codec.Decoder().decode(encode_batch(*records)).records
 
 
 SETTINGS: dict[str, Any] = {
@@ -80,58 +80,58 @@
 }
 
 
-def test_the_wire_pages_own_batch() -> None:
-    payload = wire("""4020d3126e978d50 00000003 0000000c
+def test_the_example_batch_of_the_protocol_description() -> None:
+    payload = from_hex("""4020d3126e978d50 00000003 0000000c
         03 0000002a 00000003 5d3a91c4 00 00000000 91f03b7c55d20a64
            40214df3b645a1cb 3f889374bc6a7efa 42640000 01
         07 0000000c 00000003 000000000000004d
         06 00000008 00000005 0e6f2b19""")
-    decoded = codec.Decoder().batch(payload)
-    assert (decoded.clock, decoded.number) == (struct.unpack(">d", wire("4020d3126e978d50"))[0], 12)
-    (first, knock), timer, gone = decoded.records
-    assert first == 3
-    assert knock == api.MessageReceived(
+    decoded = codec.Decoder().decode(payload)
+    assert (decoded.clock, decoded.number) == (struct.unpack(">d", from_hex("4020d3126e978d50"))[0], 12)
+    (instance, received), timer, withdrawn = decoded.records
+    assert instance == 3
+    assert received == api.MessageReceived(
         message=0x5D3A91C4,
         message_class=0,
         destination=57,
-        due=struct.unpack(">d", wire("40214df3b645a1cb"))[0],
+        due=struct.unpack(">d", from_hex("40214df3b645a1cb"))[0],
         tenant=0,
         key=0x91F03B7C55D20A64,
-        work_hint=struct.unpack(">d", wire("3f889374bc6a7efa"))[0],
+        work_hint=struct.unpack(">d", from_hex("3f889374bc6a7efa"))[0],
     )
     assert timer == (3, api.TimerFired(77))
-    assert gone == (5, api.MessageWithdrawn(0x0E6F2B19))
+    assert withdrawn == (5, api.MessageWithdrawn(0x0E6F2B19))
 
 
 def test_the_flags_of_a_message() -> None:
     head = (
         "03 0000002a 00000003 00000009 01 00000002 0000000000000000 40240000000000000000000000000000 3f800000"
     )
-    ((_, message),) = decode(wire(head + "16"))
+    ((_, message),) = decode(from_hex(head + "16"))
     assert message == api.MessageReceived(
         9, 1, 1, 10.0, 2, None, None, is_retry=True, from_dead_sender=True, is_write=True
     )
 
 
 def test_an_empty_batch_and_its_reply() -> None:
-    decoded = codec.Decoder().batch(wire("4020d3126e978d50 00000000 00000001"))
+    decoded = codec.Decoder().decode(from_hex("4020d3126e978d50 00000000 00000001"))
     assert decoded.records == []
-    assert codec.reply(decoded.number, []) == wire("00000008 00000000 00000001")
+    assert codec.encode_reply(decoded.number, []) == from_hex("00000008 00000000 00000001")
 
 
 def test_lists_and_updates() -> None:
-    manifest = wire("""0b 0000004e 0005 00000003
+    endpoint_list = from_hex("""0b 0000004e 0005 00000003
         0a124a07 138b 00 00 0000000000000000 3f800000 0000 0039
         0a9011f2 13b4 01 01 4018000000000000 3fc00000 0001 0039
         0a9011f3 13b4 03 00 0000000000000000 00000000 0000 0001""")
-    update = wire("02 0000000f 00000003 01 0000000000000029 0005")
-    ((instance, news),) = decode(manifest, update)
+    update = from_hex("02 0000000f 00000003 01 0000000000000029 0005")
+    ((instance, decoded),) = decode(endpoint_list, update)
     assert instance == 3
-    assert news == api.EndpointsUpdated(
+    assert decoded == api.EndpointsUpdated(
         api.UpdateScope.FULL,
         41,
         (
-            api.Endpoint(HERE, api.EndpointState.READY, 0, 57, 0, 1.0, None),
+            api.Endpoint(ADDRESS, api.EndpointState.READY, 0, 57, 0, 1.0, None),
             api.Endpoint(
                 (bytes([10, 0x90, 0x11, 0xF2]), 0x13B4), api.EndpointState.DRAINING, 1, 57, 1, 1.5, 6.0
             ),
@@ -140,59 +140,59 @@
     )
 
 
-def test_a_reused_list_number_means_the_list_named_last() -> None:
-    def one(host: int) -> bytes:
-        return wire(
+def test_a_reused_list_number_refers_to_the_latest_list() -> None:
+    def list_of(host: int) -> bytes:
+        return from_hex(
             f"0b 0000001e 0000 00000001 0a0000{host:02x} 0001 00 000000000000000000 3f800000 0000 0001"
         )
 
-    update = wire("02 0000000f 00000001 00 0000000000000001 0000")
-    (_, first), (_, second) = decode(one(1), update, one(2), update)
+    update = from_hex("02 0000000f 00000001 00 0000000000000001 0000")
+    (_, first), (_, second) = decode(list_of(1), update, list_of(2), update)
     assert first.endpoints[0].address == (bytes([10, 0, 0, 1]), 1)
     assert second.endpoints[0].address == (bytes([10, 0, 0, 2]), 1)
 
 
-def test_a_failed_update_names_no_list() -> None:
-    assert decode(wire("02 0000000f 00000001 03 0000000000000001 0009")) == [
+def test_a_failed_update_carries_no_list() -> None:
+    assert decode(from_hex("02 0000000f 00000001 03 0000000000000001 0009")) == [
         (1, api.EndpointsUpdated(api.UpdateScope.FAILED, 1, ()))
     ]
 
 
-def test_an_outcome_with_a_wait_and_a_report() -> None:
+def test_an_outcome_with_retry_after_and_report() -> None:
     ((_, ended),) = decode(
-        wire(
+        from_hex(
             f"05 00000027 00000003 00000007 {HERE_HEX} 02 3fe0000000000000 01 000005dc 0002"
             "02 3f000000 40a00000"
         )
     )
-    assert ended == api.AttemptEnded(7, HERE, 2, 0.5, True, api.Outcome.FULL, 1.5, False, (0.5, 5.0))
+    assert ended == api.AttemptEnded(7, ADDRESS, 2, 0.5, True, api.Outcome.FULL, 1.5, False, (0.5, 5.0))
 
 
-def test_the_note_of_an_attempt_that_was_not_sent_is_no_wait() -> None:
+def test_the_detail_of_an_unsent_attempt_is_not_a_retry_after() -> None:
     ((_, ended),) = decode(
-        wire(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000001 0007 00")
+        from_hex(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000001 0007 00")
     )
-    assert ended == api.AttemptEnded(7, HERE, 0, 0.0, False, api.Outcome.NOT_SENT, None, True, ())
+    assert ended == api.AttemptEnded(7, ADDRESS, 0, 0.0, False, api.Outcome.NOT_SENT, None, True, ())
 
 
 def test_streams_probes_and_peers() -> None:
     assert decode(
-        wire(f"04 00000017 00000003 00000007 {HERE_HEX} 01 3fd0000000000000"),
-        wire(f"08 00000015 00000003 {HERE_HEX} 0004 3fd0000000000000 00"),
-        wire("09 0000000d 00000003 00000002 0003 616263"),
+        from_hex(f"04 00000017 00000003 00000007 {HERE_HEX} 01 3fd0000000000000"),
+        from_hex(f"08 00000015 00000003 {HERE_HEX} 0004 3fd0000000000000 00"),
+        from_hex("09 0000000d 00000003 00000002 0003 616263"),
     ) == [
-        (3, api.StreamStarted(7, HERE, 1, 0.25)),
-        (3, api.ProbeEnded(HERE, api.Outcome.CONNECT_FAILED, 0.25, ())),
+        (3, api.StreamStarted(7, ADDRESS, 1, 0.25)),
+        (3, api.ProbeEnded(ADDRESS, api.Outcome.CONNECT_FAILED, 0.25, ())),
         (3, api.PeerMessage(2, b"abc")),
     ]
 
 
 def test_start_and_stop() -> None:
     text = json.dumps(SETTINGS).encode()
-    launch = wire(f"01 {16 + len(text):08x} 00000004 00000000000000ff {len(text):08x}") + text
-    (instance, started), stop = decode(launch, wire("0a 00000004 00000004"))
+    start = from_hex(f"01 {16 + len(text):08x} 00000004 00000000000000ff {len(text):08x}") + text
+    (instance, started), stop = decode(start, from_hex("0a 00000004 00000004"))
     assert (instance, started.seed) == (4, 255)
-    assert stop == (4, codec.PowerOff())
+    assert stop == (4, codec.InstanceKilled())
     assert started.settings == api.Settings(
         classes=(
             api.MessageClass(
@@ -239,8 +239,8 @@
 @pytest.mark.parametrize(
     ("act", "expected"),
     [
-        (api.Send(0x5D3A91C4, HERE, 0.5), f"47 00000016 00000003 5d3a91c4 {HERE_HEX} 3fe0000000000000"),
-        (api.Send(1, HERE), f"47 00000016 00000003 00000001 {HERE_HEX} 0000000000000000"),
+        (api.Send(0x5D3A91C4, ADDRESS, 0.5), f"47 00000016 00000003 5d3a91c4 {HERE_HEX} 3fe0000000000000"),
+        (api.Send(1, ADDRESS), f"47 00000016 00000003 00000001 {HERE_HEX} 0000000000000000"),
         (api.SetTimer(0.5, 77), "4c 00000014 00000003 3fe0000000000000 000000000000004d"),
         (api.Log("two servers unknown"), "49 00000019 00000003 0013 74776f2073657276657273 20756e6b6e6f776e"),
         (api.Refuse(9, 0.5), "44 00000010 00000003 00000009 3fe0000000000000"),
@@ -250,24 +250,24 @@
         (api.Subscribe(True), "42 00000005 00000003 01"),
         (api.Subscribe(False), "42 00000005 00000003 00"),
         (api.FetchEndpoints(), "4b 00000004 00000003"),
-        (api.Probe(HERE), f"46 0000000a 00000003 {HERE_HEX}"),
-        (api.CloseIdle(HERE), f"41 0000000a 00000003 {HERE_HEX}"),
+        (api.Probe(ADDRESS), f"46 0000000a 00000003 {HERE_HEX}"),
+        (api.CloseIdle(ADDRESS), f"41 0000000a 00000003 {HERE_HEX}"),
         (api.TellPeer(None, b"hi 7"), "4a 0000000e 00000003 ffffffff 0004 68692037"),
         (api.TellPeer(2, b""), "4a 0000000a 00000003 00000002 0000"),
     ],
 )
-def test_actions(act: api.Action, expected: str) -> None:
-    assert codec.action(3, act) == wire(expected)
+def test_actions(action: api.Action, expected: str) -> None:
+    assert codec.encode_action(3, action) == from_hex(expected)
 
 
-def test_a_fault_and_a_whole_reply() -> None:
-    record = codec.fault(3, "KeyError: 1")
-    assert record == wire("43 00000011 00000003 000b 4b65794572726f723a2031")
-    assert codec.reply(12, [record]) == wire("0000001e 00000001 0000000c") + record
+def test_a_fault_record_and_its_reply() -> None:
+    record = codec.encode_fault(3, "KeyError: 1")
+    assert record == from_hex("43 00000011 00000003 000b 4b65794572726f723a2031")
+    assert codec.encode_reply(12, [record]) == from_hex("0000001e 00000001 0000000c") + record
 
 
-def test_long_text_is_cut_at_a_whole_character() -> None:
-    record = codec.action(1, api.Log("é" * 40000))
+def test_long_text_is_truncated_at_a_character_boundary() -> None:
+    record = codec.encode_action(1, api.Log("é" * 40000))
     count = int.from_bytes(record[9:11], "big")
     assert count == 65534
     assert record[11:].decode() == "é" * 32767
@@ -277,53 +277,63 @@
     "payload",
     [
         b"",
-        batch()[:-1],
-        batch() + b"x",
-        batch(wire("07 0000000c 00000003 000000000000004d"))[:-1],
-        batch(wire("07 0000000c 00000003 000000000000004d"))[:-14],
-        batch(wire("07 0000000b 00000003 0000000000004d")),
-        batch(wire("07 0000000d 00000003 000000000000004d00")),
-        batch(wire("63 00000004 00000003")),
-        batch(wire("02 0000000f 00000003 01 0000000000000029 0005")),
-        batch(wire("02 0000000f 00000003 07 0000000000000029 0005")),
-        batch(wire("0b 00000006 0000 00000001")),
-        batch(wire("0b 0000001e 0000 00000001 0a000001 0001 02 00 0000000000000000 3f800000 0000 0001")),
-        batch(wire(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000000 0008 00")),
-        batch(wire(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000000 0000 01")),
-        batch(wire("01 00000012 00000004 00000000000000ff 00000002 7b7d")),
-        batch(wire("01 00000012 00000004 00000000000000ff 00000002 7b7b")),
-        batch(wire("01 00000012 00000004 00000000000000ff 00000002 5b5d")),
+        encode_batch()[:-1],
+        encode_batch() + b"x",
+        encode_batch(from_hex("07 0000000c 00000003 000000000000004d"))[:-1],
+        encode_batch(from_hex("07 0000000c 00000003 000000000000004d"))[:-14],
+        encode_batch(from_hex("07 0000000b 00000003 0000000000004d")),
+        encode_batch(from_hex("07 0000000d 00000003 000000000000004d00")),
+        encode_batch(from_hex("63 00000004 00000003")),
+        encode_batch(from_hex("02 0000000f 00000003 01 0000000000000029 0005")),
+        encode_batch(from_hex("02 0000000f 00000003 07 0000000000000029 0005")),
+        encode_batch(from_hex("0b 00000006 0000 00000001")),
+        encode_batch(
+            from_hex("0b 0000001e 0000 00000001 0a000001 0001 02 00 0000000000000000 3f800000 0000 0001")
+        ),
+        encode_batch(
+            from_hex(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000000 0008 00")
+        ),
+        encode_batch(
+            from_hex(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000000 0000 01")
+        ),
+        encode_batch(from_hex("01 00000012 00000004 00000000000000ff 00000002 7b7d")),
+        encode_batch(from_hex("01 00000012 00000004 00000000000000ff 00000002 7b7b")),
+        encode_batch(from_hex("01 00000012 00000004 00000000000000ff 00000002 5b5d")),
     ],
 )
-def test_what_the_wire_does_not_allow_is_turned_down(payload: bytes) -> None:
+def test_malformed_batches_are_rejected(payload: bytes) -> None:
     with pytest.raises(codec.WireError):
-        codec.Decoder().batch(payload)
+        codec.Decoder().decode(payload)
 
 
-def test_optional_settings_have_the_meaning_of_the_wire_page() -> None:
-    bare = {
+def test_absent_optional_settings_have_the_defaults_of_the_protocol() -> None:
+    minimal = {
         "allowed": {"attemptsCap": 3, "mostHeld": 9},
         "extra": {"maxCalls": 2},
         "lanes": [{"name": "a", "repeat": "read_like", "slo": 1.0, "hardLimit": 2.0}],
     }
-    read = codec.settings(json.dumps(bare).encode())
+    settings = codec.parse_settings(json.dumps(minimal).encode())
     permissions = (
-        read.may_cancel,
-        read.may_duplicate,
-        read.may_probe,
-        read.may_gossip,
-        read.advises_retry_after,
-        read.discovery_on_request,
-        read.listed_rates,
+        settings.may_cancel,
+        settings.may_duplicate,
+        settings.may_probe,
+        settings.may_gossip,
+        settings.advises_retry_after,
+        settings.discovery_on_request,
+        settings.listed_rates,
     )
     assert not any(permissions)
-    assert (read.tenants, read.kinds, read.report_fields) == ((), (), ())
-    assert (read.list_refresh_interval, read.order_pause, read.calls_per_connection) == (None, 0.0, 1)
-    assert not read.classes[0].ordered
-    assert read.classes[0].effect is api.Effect.SAFE
+    assert (settings.tenants, settings.kinds, settings.report_fields) == ((), (), ())
+    assert (settings.list_refresh_interval, settings.order_pause, settings.calls_per_connection) == (
+        None,
+        0.0,
+        1,
+    )
+    assert not settings.classes[0].ordered
+    assert settings.classes[0].effect is api.Effect.SAFE
 
 
-def test_an_unknown_kind_of_repeat_is_not_guessed() -> None:
+def test_an_unknown_value_of_repeat_is_rejected() -> None:
     lane = {**SETTINGS["lanes"][0], "repeat": "sometimes"}
     with pytest.raises(codec.WireError, match="sometimes"):
-        codec.settings(json.dumps({**SETTINGS, "lanes": [lane]}).encode())
+        codec.parse_settings(json.dumps({**SETTINGS, "lanes": [lane]}).encode())
