--- a/irisstack/benchlink/__init__.py
+++ b/irisstack/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the bench: its binary protocol, and the loop that hosts instances of the decision module."""
+"""Adapter to the simulator: its binary protocol, and the loop that runs instances of the decision module."""
--- a/irisstack/benchlink/__main__.py
+++ b/irisstack/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: hosts the decision module on standard input and output."""
+"""Entry point: runs the decision module for the simulator, on standard input and output."""
 
 import sys
 
--- a/irisstack/benchlink/codec.py
+++ b/irisstack/benchlink/codec.py
@@ -1,4 +1,4 @@
-"""Codec of the bench's binary protocol, willow-f519: bytes to interface types and back. No decisions."""
+"""Codec of the simulator's binary protocol, willow-f519: decodes events and encodes actions."""
 
 import json
 import struct
@@ -38,12 +38,12 @@
 
 
 class WireError(Exception):
-    """The input violates the protocol."""
+    """Input that violates the protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class InstanceStarted:
-    """An instance starts."""
+    """An instance of the decision module is started."""
 
     seed: int
     settings: Settings
@@ -51,12 +51,12 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceKilled:
-    """An instance is killed without notice."""
+    """An instance is stopped without a chance to act."""
 
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """One decoded batch: the clock in seconds, its number, and its records as (instance, event) in order."""
+    """One decoded batch: the clock in seconds, its number, and its records (instance, event) in order."""
 
     clock: float
     number: int
@@ -93,16 +93,16 @@
 
 
 def _unpack(layout: struct.Struct, body: memoryview, exact: bool = True) -> tuple[Any, ...]:
-    """Unpack a record's fixed fields; with `exact` nothing may follow them. Raises `WireError`."""
+    """Unpack a record's fixed fields; with `exact`, nothing may follow them. Raises `WireError`."""
     if len(body) < layout.size or (exact and len(body) != layout.size):
-        raise WireError(f"a record's fields take {len(body)} bytes where {form.size} are due")
+        raise WireError(f"a record's fixed fields: expected {layout.size} bytes, got {len(body)}")
     return layout.unpack_from(body)
 
 
 def _variable_part(layout: struct.Struct, body: memoryview, length: int) -> memoryview:
-    """The variable-length content after a record's fixed fields; raises `WireError` if its length differs."""
+    """The part of a record after its fixed fields; raises `WireError` unless it has the given length."""
     if len(body) != layout.size + length:
-        raise WireError(f"a record's content takes {len(body) - form.size} bytes where {length} are due")
+        raise WireError(f"a record's variable part: expected {length} bytes, got {len(body) - layout.size}")
     return body[layout.size :]
 
 
@@ -114,7 +114,7 @@
     try:
         return table[value]
     except (KeyError, IndexError):
-        raise WireError(f"unknown {what}: {value!r}") from None
+        raise WireError(f"unknown {description}: {value!r}") from None
 
 
 class Decoder:
@@ -126,24 +126,24 @@
     def decode(self, payload: bytes) -> Batch:
         """Decode a batch without its length field; raises `WireError`."""
         if len(payload) < BATCH_HEADER.size - 4:
-            raise WireError("a batch is shorter than its header")
+            raise WireError("batch shorter than its header")
         clock, count, number = struct.unpack_from(">dII", payload)
         view = memoryview(payload)
         offset = BATCH_HEADER.size - 4
         records: list[tuple[int, Event | InstanceStarted | InstanceKilled]] = []
         for _ in range(count):
             if len(view) < offset + RECORD_HEADER.size:
-                raise WireError("a batch ends inside a record's head")
+                raise WireError("batch ends within a record header")
             code, length = RECORD_HEADER.unpack_from(view, offset)
             offset += RECORD_HEADER.size
             if len(view) < offset + length:
-                raise WireError("a batch ends inside a record")
+                raise WireError("batch ends within a record")
             record = self._decode_record(code, view[offset : offset + length])
             if record is not None:
                 records.append(record)
             offset += length
         if offset != len(view):
-            raise WireError("bytes follow a batch's last record")
+            raise WireError("bytes after the last record of a batch")
         return Batch(clock, number, records)
 
     def _decode_record(
@@ -241,11 +241,11 @@
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Read the settings from their JSON text; raises `WireError`."""
+    """Parse the settings from their JSON text; raises `WireError`."""
     try:
         return read(Reader(json.loads(text)))
     except (ValueError, SettingsError) as error:
-        raise WireError(f"the settings cannot be read: {error}") from None
+        raise WireError(f"invalid settings: {error}") from None
 
 
 def _encode_record(code: int, fields: bytes) -> bytes:
@@ -258,7 +258,7 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """Encode the report that the decision module has failed."""
+    """Encode the report that the decision module raised an exception."""
     return _encode_text(67, instance, text)
 
 
--- a/irisstack/benchlink/host.py
+++ b/irisstack/benchlink/host.py
@@ -1,4 +1,4 @@
-"""Hosts instances of the decision module on a pair of byte streams. No decisions."""
+"""Runs instances of the decision module for the simulator, over a pair of byte streams."""
 
 from typing import BinaryIO, TextIO
 
@@ -7,11 +7,11 @@
 from irisstack.interface import Event
 
 MAX_FRAME = 1 << 30
-"""Bytes; a frame that claims more is refused as malformed."""
+"""Bytes; a frame whose length field is larger is rejected as malformed."""
 
 
 def _read_up_to(stream: BinaryIO, size: int) -> bytes:
-    """Read exactly `size` bytes, or fewer at the end of the stream."""
+    """Read `size` bytes; fewer only at the end of the stream."""
     data = stream.read(size)
     while data and len(data) < size:
         chunk = stream.read(size - len(data))
@@ -22,7 +22,7 @@
 
 
 class Host:
-    """The instances of one process, which are independent of each other."""
+    """The instances of one process; they are independent of each other."""
 
     def __init__(self) -> None:
         self._decoder = codec.Decoder()
@@ -43,7 +43,7 @@
                     events.pop(instance, None)
                 case _:
                     if instance not in self._senders:
-                        raise codec.WireError(f"an event for instance {instance}, which was never started")
+                        raise codec.WireError(f"event for instance {instance}, which was never started")
                     if self._senders[instance] is not None:
                         events.setdefault(instance, []).append(event)
         for instance, instance_events in events.items():
@@ -54,24 +54,24 @@
                     codec.encode_action(instance, action)
                     for action in sender.turn(batch.clock, instance_events)
                 )
-            except Exception as error:  # whatever it is, the bench must learn the cause
+            except Exception as error:  # the simulator reports any failure with its cause
                 records.append(codec.encode_fault(instance, f"{type(error).__name__}: {error}"))
         return codec.encode_reply(batch.number, records)
 
 
 def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Answer batches until the input ends; returns the exit code: 0, or 2 for malformed input."""
+    """Process batches until the input ends; returns the exit code: 0, or 2 for malformed input."""
     host = Host()
     try:
         while length_field := _read_up_to(source, 4):
             if len(length_field) < 4:
-                raise codec.WireError("the input ends inside a frame's length")
+                raise codec.WireError("input ends within the length field of a frame")
             length = int.from_bytes(length_field, "big")
             if length > MAX_FRAME:
-                raise codec.WireError(f"a frame claims {length} bytes")
+                raise codec.WireError(f"frame length: expected at most {MAX_FRAME} bytes, got {length}")
             payload = _read_up_to(source, length)
             if len(payload) < length:
-                raise codec.WireError("the input ends inside a frame")
+                raise codec.WireError("input ends within a frame")
             sink.write(host.process(payload))
             sink.flush()
     except codec.WireError as error:
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Every record of the wire, against bytes written out by hand, and what must be turned down."""
+"""Every record of the simulator's protocol against handwritten bytes, and rejection of malformed input."""
 
 import json
 import struct
@@ -76,7 +76,7 @@
     "shapes": ["one", "two"],
     "tenants": [{"allowancePerS": 5.0, "name": "t", "share": 0.5}],
     "weights": "rough",
-    "neverHeardOf": [1, 2],
+    "unknownKey": [1, 2],
 }
 
 
@@ -161,7 +161,7 @@
 def test_an_outcome_with_retry_after_and_report() -> None:
     ((_, ended),) = decode(
         from_hex(
-            f"05 00000027 00000003 00000007 {HERE_HEX} 02 3fe0000000000000 01 000005dc 0002"
+            f"05 00000027 00000003 00000007 {ADDRESS_HEX} 02 3fe0000000000000 01 000005dc 0002"
             "02 3f000000 40a00000"
         )
     )
@@ -170,15 +170,15 @@
 
 def test_the_detail_of_an_unsent_attempt_is_not_a_retry_after() -> None:
     ((_, ended),) = decode(
-        from_hex(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000001 0007 00")
+        from_hex(f"05 0000001f 00000003 00000007 {ADDRESS_HEX} 00 0000000000000000 00 00000001 0007 00")
     )
     assert ended == api.AttemptEnded(7, ADDRESS, 0, 0.0, False, api.Outcome.NOT_SENT, None, True, ())
 
 
 def test_streams_probes_and_peers() -> None:
     assert decode(
-        from_hex(f"04 00000017 00000003 00000007 {HERE_HEX} 01 3fd0000000000000"),
-        from_hex(f"08 00000015 00000003 {HERE_HEX} 0004 3fd0000000000000 00"),
+        from_hex(f"04 00000017 00000003 00000007 {ADDRESS_HEX} 01 3fd0000000000000"),
+        from_hex(f"08 00000015 00000003 {ADDRESS_HEX} 0004 3fd0000000000000 00"),
         from_hex("09 0000000d 00000003 00000002 0003 616263"),
     ) == [
         (3, api.StreamStarted(7, ADDRESS, 1, 0.25)),
@@ -237,10 +237,10 @@
 
 
 @pytest.mark.parametrize(
-    ("act", "expected"),
+    ("action", "expected"),
     [
-        (api.Send(0x5D3A91C4, ADDRESS, 0.5), f"47 00000016 00000003 5d3a91c4 {HERE_HEX} 3fe0000000000000"),
-        (api.Send(1, ADDRESS), f"47 00000016 00000003 00000001 {HERE_HEX} 0000000000000000"),
+        (api.Send(0x5D3A91C4, ADDRESS, 0.5), f"47 00000016 00000003 5d3a91c4 {ADDRESS_HEX} 3fe0000000000000"),
+        (api.Send(1, ADDRESS), f"47 00000016 00000003 00000001 {ADDRESS_HEX} 0000000000000000"),
         (api.SetTimer(0.5, 77), "4c 00000014 00000003 3fe0000000000000 000000000000004d"),
         (api.Log("two servers unknown"), "49 00000019 00000003 0013 74776f2073657276657273 20756e6b6e6f776e"),
         (api.Refuse(9, 0.5), "44 00000010 00000003 00000009 3fe0000000000000"),
@@ -250,8 +250,8 @@
         (api.Subscribe(True), "42 00000005 00000003 01"),
         (api.Subscribe(False), "42 00000005 00000003 00"),
         (api.FetchEndpoints(), "4b 00000004 00000003"),
-        (api.Probe(ADDRESS), f"46 0000000a 00000003 {HERE_HEX}"),
-        (api.CloseIdle(ADDRESS), f"41 0000000a 00000003 {HERE_HEX}"),
+        (api.Probe(ADDRESS), f"46 0000000a 00000003 {ADDRESS_HEX}"),
+        (api.CloseIdle(ADDRESS), f"41 0000000a 00000003 {ADDRESS_HEX}"),
         (api.TellPeer(None, b"hi 7"), "4a 0000000e 00000003 ffffffff 0004 68692037"),
         (api.TellPeer(2, b""), "4a 0000000a 00000003 00000002 0000"),
     ],
@@ -291,10 +291,10 @@
             from_hex("0b 0000001e 0000 00000001 0a000001 0001 02 00 0000000000000000 3f800000 0000 0001")
         ),
         encode_batch(
-            from_hex(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000000 0008 00")
+            from_hex(f"05 0000001f 00000003 00000007 {ADDRESS_HEX} 00 0000000000000000 00 00000000 0008 00")
         ),
         encode_batch(
-            from_hex(f"05 0000001f 00000003 00000007 {HERE_HEX} 00 0000000000000000 00 00000000 0000 01")
+            from_hex(f"05 0000001f 00000003 00000007 {ADDRESS_HEX} 00 0000000000000000 00 00000000 0000 01")
         ),
         encode_batch(from_hex("01 00000012 00000004 00000000000000ff 00000002 7b7d")),
         encode_batch(from_hex("01 00000012 00000004 00000000000000ff 00000002 7b7b")),
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -1,4 +1,4 @@
-"""The host: instances apart from each other, one process or many, and how it ends."""
+"""The simulator host: independent instances in one process, and the end of its input."""
 
 import io
 import json
