--- a/irisstack/__main__.py
+++ b/irisstack/__main__.py
@@ -10,8 +10,8 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Returns the exit code: 0 done, 1 the thing asked for failed, 2 asked wrongly."""
-    words = list(sys.argv[1:] if arguments is None else arguments)
-    if words == ["run"]:  # a node is lean: what its environment holds is in requirements.txt
+    argv = list(sys.argv[1:] if arguments is None else arguments)
+    if argv == ["run"]:  # a node is lean: what its environment holds is in requirements.txt
         return run_node()
     try:
         from irisstack.cli import main as command_line
@@ -20,7 +20,7 @@
             raise
         print(NEEDS_TOOLS, file=sys.stderr)
         return 2
-    return command_line(words)
+    return command_line(argv)
 
 
 if __name__ == "__main__":
--- a/irisstack/common/logs.py
+++ b/irisstack/common/logs.py
@@ -20,7 +20,7 @@
     return event
 
 
-class _LossyStream:
+class _BestEffortStream:
     """A stream whose lines are lost where they cannot be written: a full disk must not end the process."""
 
     def __init__(self, stream: TextIO) -> None:
@@ -36,13 +36,13 @@
             self._stream.flush()
 
 
-def configure(form: Format = "json", level: str = "info", stream: TextIO | None = None) -> None:
+def configure(log_format: Format = "json", level: str = "info", stream: TextIO | None = None) -> None:
     """Set up all loggers of the process; they write to `stream`, standard output by default.
 
     `json` is one object a line for machines, `console` aligned text for people (coloured on a terminal only).
     """
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
-    if form == "console":
+    if log_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=stream is not None and stream.isatty())
     structlog.configure(
         processors=[
@@ -52,6 +52,6 @@
             renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.PrintLoggerFactory(cast(TextIO, _LossyStream(stream or sys.stdout))),
+        logger_factory=structlog.PrintLoggerFactory(cast(TextIO, _BestEffortStream(stream or sys.stdout))),
         cache_logger_on_first_use=stream is None,
     )
