--- a/irisstack/__main__.py
+++ b/irisstack/__main__.py
@@ -1,17 +1,17 @@
-"""The command line: `python -m irisstack`. A plain `run` starts a delivery node and loads nothing else."""
+"""The command line, `python -m irisstack`. A plain `run` starts a delivery node and imports nothing else."""
 
 import sys
 from collections.abc import Sequence
 
 from irisstack.start import run_node
 
-NEEDS_TOOLS = "irisstack: all commands but a plain `run` need the tools: pip install 'irisstack[tools]'"
+NEEDS_TOOLS = "irisstack: all commands except a plain `run` need the tools: pip install 'irisstack[tools]'"
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Returns the exit code: 0 done, 1 the thing asked for failed, 2 asked wrongly."""
+    """Run a command; returns the exit code: 0 success, 1 failure, 2 usage error."""
     argv = list(sys.argv[1:] if arguments is None else arguments)
-    if argv == ["run"]:  # a node is lean: what its environment holds is in requirements.txt
+    if argv == ["run"]:  # a node's environment has only the packages in requirements.txt
         return run_node()
     try:
         from irisstack.cli import main as command_line
--- a/irisstack/common/logs.py
+++ b/irisstack/common/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line, the same keys everywhere, on standard output or elsewhere."""
+"""Structured logging: one event per line, with the same keys in every process."""
 
 import logging
 import sys
@@ -15,13 +15,13 @@
 def _add_monotonic_time(
     _logger: object, _method: str, event: structlog.typing.EventDict
 ) -> structlog.typing.EventDict:
-    """Seconds on the clock that nothing steps: time stamps alone cannot tell a step from a gap."""
+    """Add the monotonic time in seconds: timestamps alone cannot tell a step of the wall clock from a gap."""
     event["monotonic_s"] = round(time.monotonic(), 3)
     return event
 
 
 class _BestEffortStream:
-    """A stream whose lines are lost where they cannot be written: a full disk must not end the process."""
+    """A stream that drops lines it cannot write: a full disk must not end the process."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
@@ -37,9 +37,9 @@
 
 
 def configure(log_format: Format = "json", level: str = "info", stream: TextIO | None = None) -> None:
-    """Set up all loggers of the process; they write to `stream`, standard output by default.
+    """Configure all loggers of the process; they write to `stream`, standard output by default.
 
-    `json` is one object a line for machines, `console` aligned text for people (coloured on a terminal only).
+    `json` writes one object per line, `console` aligned text for people (coloured only on a terminal).
     """
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if log_format == "console":
