--- a/irisstack/configuration/document.py
+++ b/irisstack/configuration/document.py
@@ -1,7 +1,7 @@
-"""A file as a checked model, or every problem in it at once.
+"""Parses a file into a validated model, or reports everything that is wrong with it.
 
-Checked by pydantic: it reports all errors of a document together with their paths, and gives a JSON schema.
-msgspec, used for what machines write, stops at the first error.
+Uses pydantic, which reports all errors of a document with their paths and provides a JSON schema. msgspec,
+used for files written by machines, stops at the first error.
 """
 
 import difflib
@@ -14,11 +14,11 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-Place = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 
 class Section(BaseModel):
-    """A table of a file. Unknown keys are refused, and a text is never taken for a number."""
+    """A table of a file. Unknown keys are rejected, and strings are not converted to numbers."""
 
     model_config = ConfigDict(
         extra="forbid",
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """One thing that is wrong with a file."""
+    """One error in a file."""
 
     key: str
     text: str
 
 
 class DocumentError(Exception):
-    """A file that cannot be used, with everything that is wrong with it."""
+    """The file is unusable; carries every problem found in it."""
 
     def __init__(self, path: Path, problems: Sequence[Problem]) -> None:
         self.path, self.problems = path, tuple(problems)
@@ -55,7 +55,7 @@
 
 
 def parse(path: Path) -> dict[str, Any]:
-    """The file's content, TOML unless its name ends with `.json`; raises `DocumentError`."""
+    """Parse a file, as JSON if its name ends with `.json`, else as TOML; raises `DocumentError`."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -64,73 +64,75 @@
     try:
         raw = json.loads(data) if is_json else tomllib.loads(data.decode())
     except (ValueError, RecursionError) as error:
-        raise DocumentError(path, [Problem("", f"no {'JSON' if is_json else 'TOML'}: {error}")]) from None
+        raise DocumentError(
+            path, [Problem("", f"invalid {'JSON' if is_json else 'TOML'}: {error}")]
+        ) from None
     if not isinstance(raw, dict):
-        raise DocumentError(path, [Problem("", "a table of keys is due")])
+        raise DocumentError(path, [Problem("", f"expected a table of keys, got {type(raw).__name__}")])
     return raw
 
 
 def read(path: Path, model: type[Model]) -> Model:
-    """The file as a model; raises `DocumentError` with all problems."""
+    """Parse and validate a file; raises `DocumentError` with all problems."""
     return check(path, parse(path), model)
 
 
 def check(path: Path, raw: Mapping[str, Any], model: type[Model]) -> Model:
-    """A parsed file as a model; `path` is named in the errors."""
+    """Validate a parsed file; `path` is named in the errors. Raises `DocumentError`."""
     try:
         return model.model_validate(raw)
     except ValidationError as error:
         raise DocumentError(path, list(_problems(error, model))) from None
 
 
-def show_place(place: Place) -> str:
-    """A key's path as a person writes it: `lanes[0].name`."""
+def format_key_path(key_path: KeyPath) -> str:
+    """A key's path in the usual notation: `lanes[0].name`."""
     text = ""
-    for part in place:
+    for part in key_path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
     return text
 
 
-def flatten(value: Any, place: Place = ()) -> Iterator[tuple[str, Any]]:
+def flatten(value: Any, key_path: KeyPath = ()) -> Iterator[tuple[str, Any]]:
     """Every leaf of a document with its path, in order."""
     if isinstance(value, Mapping) and value:
-        for key, inner in value.items():
-            yield from flatten(inner, (*place, key))
+        for key, child in value.items():
+            yield from flatten(child, (*key_path, key))
     elif isinstance(value, list | tuple) and value:
-        for i, inner in enumerate(value):
-            yield from flatten(inner, (*place, i))
+        for i, child in enumerate(value):
+            yield from flatten(child, (*key_path, i))
     else:
-        yield show_place(place), value
+        yield format_key_path(key_path), value
 
 
 def _problems(error: ValidationError, model: type[BaseModel]) -> Iterator[Problem]:
-    for found in error.errors(include_url=False):
-        place, kind = found["loc"], found["type"]
-        if kind == "extra_forbidden":
-            near = difflib.get_close_matches(str(place[-1]), _known(model, place[:-1]), 1)
-            text = "no such key" + (f"; is {near[0]!r} meant?" if near else "")
-        elif kind == "missing":
-            text = "is due and not there"
+    for details in error.errors(include_url=False):
+        key_path, error_type = details["loc"], details["type"]
+        if error_type == "extra_forbidden":
+            matches = difflib.get_close_matches(str(key_path[-1]), _known_keys(model, key_path[:-1]), 1)
+            text = "no such key" + (f"; did you mean {matches[0]!r}?" if matches else "")
+        elif error_type == "missing":
+            text = "required key is missing"
         else:
-            text = found["msg"].removeprefix("Value error, ")
+            text = details["msg"].removeprefix("Value error, ")
             text = text[0].lower() + text[1:]
-            if not isinstance(found["input"], Mapping | list) and kind != "value_error":
-                text += f", not {found['input']!r}"
-        yield Problem(show_place(place), text)
+            if not isinstance(details["input"], Mapping | list) and error_type != "value_error":
+                text += f", got {details['input']!r}"
+        yield Problem(format_key_path(key_path), text)
 
 
-def _known(model: type[BaseModel], place: Place) -> list[str]:
-    """The keys that may stand at a place, from the model's own schema."""
+def _known_keys(model: type[BaseModel], key_path: KeyPath) -> list[str]:
+    """The keys allowed at a path, according to the model's schema."""
     schema = model.model_json_schema(by_alias=True)
-    at: list[dict[str, Any]] = [schema]
-    for part in (*place, None):
-        at = list(_resolved(at, schema))
+    nodes: list[dict[str, Any]] = [schema]
+    for part in (*key_path, None):
+        nodes = list(_resolve(nodes, schema))
         if part is None:
             break
-        at = [
-            inner
-            for node in at
-            for inner in (
+        nodes = [
+            child
+            for node in nodes
+            for child in (
                 [node["items"]]
                 if isinstance(part, int) and "items" in node
                 else [node["properties"][part]]
@@ -142,14 +144,15 @@
                 else []
             )
         ]
-    return sorted({key for node in at for key in node.get("properties", {})})
+    return sorted({key for node in nodes for key in node.get("properties", {})})
 
 
-def _resolved(nodes: Sequence[dict[str, Any]], schema: dict[str, Any]) -> Iterator[dict[str, Any]]:
+def _resolve(nodes: Sequence[dict[str, Any]], schema: dict[str, Any]) -> Iterator[dict[str, Any]]:
+    """Schema nodes with references and alternatives replaced by what they stand for."""
     for node in nodes:
         if "$ref" in node:
-            yield from _resolved([schema["$defs"][node["$ref"].rpartition("/")[2]]], schema)
+            yield from _resolve([schema["$defs"][node["$ref"].rpartition("/")[2]]], schema)
         elif branches := [*node.get("anyOf", ()), *node.get("oneOf", ())]:
-            yield from _resolved(branches, schema)
+            yield from _resolve(branches, schema)
         else:
             yield node
--- a/irisstack/configuration/kinds.py
+++ b/irisstack/configuration/kinds.py
@@ -18,8 +18,8 @@
 def model(kind: str) -> type[Section]:
     """The model of a kind of file."""
     module, name, _ = KINDS[kind]
-    found: type[Section] = getattr(import_module(module), name)
-    return found
+    section: type[Section] = getattr(import_module(module), name)
+    return section
 
 
 def kind_of(raw: Mapping[str, Any]) -> str | None:
@@ -30,8 +30,8 @@
 def read(path: Path, kind: str = "auto") -> tuple[str, dict[str, Any], Section]:
     """The kind of a file, its content as written, and the checked model; raises `DocumentError`."""
     raw = parse(path)
-    found = kind_of(raw) if kind == "auto" else kind
-    if found is None:
+    found_kind = kind_of(raw) if kind == "auto" else kind
+    if found_kind is None:
         keys = ", ".join(f"{key!r} ({name})" for name, (_, _, key) in KINDS.items())
-        raise DocumentError(path, [Problem("", f"no known kind of file: one of the keys {keys} is due")])
-    return found, raw, check(path, raw, model(found))
+        raise DocumentError(path, [Problem("", f"unknown kind of file: expected one of the keys {keys}")])
+    return found_kind, raw, check(path, raw, model(found_kind))
--- a/irisstack/configuration/node_file.py
+++ b/irisstack/configuration/node_file.py
@@ -55,9 +55,9 @@
 
     @field_validator("batchByKind")
     @classmethod
-    def _some(cls, value: list[int]) -> list[int]:
-        if any(most < 1 for most in value):
-            raise ValueError("each kind takes 1 message or more in a call")
+    def _check_batch_sizes(cls, value: list[int]) -> list[int]:
+        if any(max_batch < 1 for max_batch in value):
+            raise ValueError(f"expected at least 1 for each kind, got {value!r}")
         return value
 
 
@@ -92,7 +92,7 @@
     aimStretch: float = Field(0.0, ge=0.0)
 
     @model_validator(mode="after")
-    def _in_order(self) -> "Lane":
+    def _check_deadline(self) -> "Lane":
         if self.hardLimit < self.slo:
             raise ValueError(f"hardLimit ({self.hardLimit:g}) is below slo ({self.slo:g})")
         return self
@@ -167,7 +167,7 @@
 
     @field_validator("members")
     @classmethod
-    def _addresses(cls, value: list[str]) -> list[str]:
+    def _check_members(cls, value: list[str]) -> list[str]:
         for member in value:
             _check_address(member)
         return value
@@ -196,25 +196,27 @@
 
     @field_validator("listen", "discovery")
     @classmethod
-    def _address(cls, value: str | None) -> str | None:
+    def _check_host_port(cls, value: str | None) -> str | None:
         if value is not None:
             _check_address(value)
         return value
 
     @field_validator("watch")
     @classmethod
-    def _alone(cls, value: dict[str, Any] | None, info: ValidationInfo) -> dict[str, Any] | None:
+    def _check_fixed_settings(
+        cls, value: dict[str, Any] | None, info: ValidationInfo
+    ) -> dict[str, Any] | None:
         if value is not None and info.data.get("dynamic_settings") is not None:
             raise ValueError("not together with dynamic_settings: settings on trial need ones that stay")
         return value
 
     @field_validator("seed")
     @classmethod
-    def _hexadecimal(cls, value: str) -> str:
+    def _check_seed(cls, value: str) -> str:
         try:
             int(value, 16)
         except ValueError:
-            raise ValueError(f"a hexadecimal number is due, not {value!r}") from None
+            raise ValueError(f"expected a hexadecimal number, got {value!r}") from None
         return value
 
 
@@ -230,4 +232,4 @@
 def _check_address(text: str) -> None:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"host:port is due, not {text!r}")
+        raise ValueError(f"expected host:port, got {text!r}")
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -70,24 +70,28 @@
     (
         "three at once",
         lambda s: (s.pop("shapes"), s["lanes"][0].update(slo=-1.0), s.update(weights="heavy")),
-        {"settings.shapes": "is due", "settings.lanes[0].slo": "not -1", "settings.weights": "not 'heavy'"},
+        {
+            "settings.shapes": "is due",
+            "settings.lanes[0].slo": "not -1",
+            "settings.weights": "not 'heavy'",
+        },
     ),
 ]
 
 
 @pytest.mark.parametrize(("what", "spoil", "due"), CASES, ids=[case[0] for case in CASES])
-def test_all_problems_are_told_with_their_keys(
-    tmp_path: Path, what: str, spoil: Callable[[dict[str, Any]], Any], due: dict[str, str]
+def test_all_problems_are_reported_with_their_keys(
+    tmp_path: Path, what: str, change: Callable[[dict[str, Any]], Any], expected: dict[str, str]
 ) -> None:
     raw = json.loads(EXAMPLE.read_bytes())
-    whole = spoil(raw["settings"])
-    if isinstance(whole, dict):  # keys beside the settings
-        raw.update(whole)
+    top_level = change(raw["settings"])
+    if isinstance(top_level, dict):  # keys beside the settings
+        raw.update(top_level)
     path = tmp_path / "node.json"
     path.write_text(json.dumps(raw))
     found = problems(path)
-    assert found.keys() == due.keys()
-    for key, text in due.items():
+    assert found.keys() == expected.keys()
+    for key, text in expected.items():
         assert text in found[key]
 
 
@@ -101,18 +105,20 @@
         ("a.json", b"[" * 100_000, "no JSON"),
     ],
 )
-def test_a_file_of_another_form_is_one_problem(tmp_path: Path, name: str, content: bytes, text: str) -> None:
+def test_a_file_in_another_format_is_one_problem(
+    tmp_path: Path, name: str, content: bytes, text: str
+) -> None:
     (tmp_path / name).write_bytes(content)
     assert text in problems(tmp_path / name)[""]
 
 
-def test_a_missing_file_and_one_of_no_known_kind(tmp_path: Path) -> None:
+def test_a_missing_file_and_one_of_unknown_kind(tmp_path: Path) -> None:
     assert "cannot be read" in problems(tmp_path / "none.toml")[""]
     (tmp_path / "a.toml").write_text("colour = 'red'")
     assert "no known kind" in problems(tmp_path / "a.toml", "auto")[""]
 
 
-def test_schemas_name_every_key_of_the_example() -> None:
+def test_the_schema_has_every_key_of_the_example() -> None:
     schema = kinds.model("node").model_json_schema()
     assert set(json.loads(EXAMPLE.read_bytes())) <= set(schema["properties"])
     assert tomllib.loads("[settings]").keys() <= schema["properties"].keys()
