--- a/irisstack/configuration/__init__.py
+++ b/irisstack/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Files that people write: read, checked as a whole, and explained."""
+"""Configuration files: parsing, validation and error reports."""
--- a/irisstack/configuration/kinds.py
+++ b/irisstack/configuration/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of files that people write, and which one a file is."""
+"""The kinds of configuration files, and how to tell which one a file is."""
 
 from collections.abc import Mapping
 from importlib import import_module
@@ -12,23 +12,23 @@
     "scenario": ("irisstack.lab.scenario", "Scenario", "scenario"),
     "experiment": ("irisstack.lab.experiment", "Experiment", "experiment"),
 }
-"""For each kind: the module and name of its model, loaded when asked for, and a key that only it has."""
+"""For each kind: the module and name of its model, imported on use, and a key that only this kind has."""
 
 
 def model(kind: str) -> type[Section]:
-    """The model of a kind of file."""
+    """The model for a kind of file."""
     module, name, _ = KINDS[kind]
     section: type[Section] = getattr(import_module(module), name)
     return section
 
 
 def kind_of(raw: Mapping[str, Any]) -> str | None:
-    """Which kind of file this is, by its keys; `None` if it could be any."""
+    """The kind of a file, recognized by its keys; `None` if it has none of them."""
     return next((kind for kind, (_, _, key) in KINDS.items() if key in raw), None)
 
 
 def read(path: Path, kind: str = "auto") -> tuple[str, dict[str, Any], Section]:
-    """The kind of a file, its content as written, and the checked model; raises `DocumentError`."""
+    """The kind of a file, its parsed content and the validated model; raises `DocumentError`."""
     raw = parse(path)
     found_kind = kind_of(raw) if kind == "auto" else kind
     if found_kind is None:
--- a/irisstack/configuration/node_file.py
+++ b/irisstack/configuration/node_file.py
@@ -1,7 +1,7 @@
-"""The model of a node's file, for the tools: the keys that the platform hands out, checked strictly.
+"""The model of a node's configuration file, for strict validation by the command-line tools.
 
-The node itself reads its file through `irisstack.settings`, skips keys that it does not know (a platform may
-be newer than a node), and stops at the first one it cannot use; it loads no library for that.
+The node itself parses its file with `irisstack.settings`: it ignores unknown keys, since the platform may be
+newer than the node, stops at the first invalid one, and needs no library for it.
 """
 
 from typing import Any, Literal
@@ -14,29 +14,29 @@
 
 
 class Limits(Section):
-    """What the machine gives the node."""
+    """Resources of the machine that the node may use."""
 
     cores: float = Field(1.0, gt=0.0)
     memory_mb: float = Field(192.0, gt=0.0)
     sockets: int = Field(1024, ge=64)
-    """File descriptors."""
+    """Number of file descriptors."""
     disk_mb: float = Field(64.0, ge=1.0)
-    """What the lasting folder may hold."""
+    """Size limit of the state directory."""
 
 
 class Allowed(Section):
-    """What the node may do."""
+    """Permissions and limits of the node."""
 
     attemptsCap: int = Field(ge=1)
-    """Attempts for a message, all in all."""
+    """Attempts per message in total."""
     mostHeld: int = Field(ge=1)
-    """Messages held at once."""
+    """Messages pending at once."""
     cancel: bool = False
     mayDuplicate: bool = False
     mayProbe: bool = False
     mayTell: bool = False
     retryAfter: bool = False
-    """Whether a refusal may tell the client when to come back."""
+    """Whether a rejection may tell the client when to retry."""
     maxRetryAfter: Seconds = Field(0.0, ge=0.0)
     dialTimeout: Seconds = Field(0.0, ge=0.0)
     keepalive: Seconds = Field(0.0, ge=0.0)
@@ -44,12 +44,12 @@
 
 
 class Extra(Section):
-    """Slots and what differs between kinds of destination."""
+    """Limits on calls, and settings per kind of destination."""
 
     maxCalls: int = Field(ge=1)
-    """Calls out at once."""
+    """Calls in flight at once."""
     batchByKind: list[int] = []
-    """For each kind in `shapes`: the most messages in a call."""
+    """Messages that one call may carry, for each kind in `shapes`."""
     separateRoutes: list[bool] = []
     fades: Literal["even", "by_half"] = "even"
 
@@ -62,7 +62,7 @@
 
 
 class Rules(Section):
-    """The figures of the six rules."""
+    """Parameters of the six rules that a node must keep."""
 
     answerSlack: Seconds = Field(0.0, ge=0.0)
     askWithin: Seconds | None = Field(None, gt=0.0)
@@ -75,14 +75,14 @@
 
 
 class Lane(Section):
-    """One class of message."""
+    """One message class."""
 
     name: str = Field(min_length=1)
     repeat: Literal["read_like", "idempotency_key", "non_idempotent"]
     slo: Seconds = Field(gt=0.0)
-    """Within which it is wanted."""
+    """Latency target: time within which a message should be delivered."""
     hardLimit: Seconds = Field(gt=0.0)
-    """After which it is given up."""
+    """Deadline: time after which a message is given up."""
     importance: float = Field(1.0, ge=0.0)
     lateValue: float = Field(0.0, ge=0.0, le=1.0)
     group: Literal["all", "zone"] = "all"
@@ -99,18 +99,18 @@
 
 
 class Report(Section):
-    """What endpoints tell in their answers."""
+    """Load reports that endpoints send with their answers."""
 
     how: str = "off"
     names: list[str] = []
 
 
 class Tariffs(Section):
-    """Points off the result for what costs them, by first try."""
+    """Score deductions for events that cost something, per first attempt."""
 
     connection: float = Field(0.0, ge=0.0)
     crossZone: float = Field(0.0, ge=0.0)
-    """For attempts that go to another zone; above 0, endpoints in the node's own zone go first."""
+    """For attempts sent to another zone; above 0, endpoints in the node's own zone are preferred."""
     discovery: float = Field(0.0, ge=0.0)
     handshake: float = Field(0.0, ge=0.0)
     lateFail: float = Field(0.0, ge=0.0)
@@ -143,27 +143,27 @@
     failureDomains: list[str] = []
     """The zones."""
     az: int = Field(0, ge=0)
-    """The place of the node's own zone among them."""
+    """Index of the node's own zone in `failureDomains`."""
     tariffs: Tariffs = Tariffs()
     balancers: int = Field(1, ge=1)
-    """How many nodes there are."""
+    """Number of nodes."""
     ordinal: int = Field(0, ge=0)
     discovery: Literal["pushed", "on_request"] = "pushed"
     weights: Literal["off", "nominal", "rough"] = "off"
-    """Whether the list gives each destination's rate."""
+    """Whether the endpoint list states each destination's rate."""
     overShareWorth: float = Field(1.0, ge=0.0)
     resolution: Seconds = Field(0.0, ge=0.0)
 
 
 class DynamicSettingsFile(Section):
-    """The etcd cluster whose settings the node follows while it runs."""
+    """The etcd cluster from which the node takes changes of its settings while it runs."""
 
     members: list[str] = Field(min_length=1)
     """The members' client addresses, host:port each."""
     prefix: str = Field(pattern="/$")
-    """Of the settings' keys."""
+    """Prefix of the settings' keys in etcd."""
     bytes_per_s: int = Field(11_000, ge=1024)
-    """The most that following the settings may take of the network."""
+    """Network bandwidth that following the settings may use, in bytes per second."""
 
     @field_validator("members")
     @classmethod
@@ -174,25 +174,25 @@
 
 
 class NodeFile(Section):
-    """A node's file. The variables in `VARIABLES` stand above their keys."""
+    """A node's configuration file. The environment variables in `VARIABLES` override their keys."""
 
     name: str = "node"
     listen: str | None = None
     discovery: str | None = None
     state: str | None = None
-    """The lasting folder."""
+    """The state directory."""
     seed: str = "0"
-    """Hexadecimal; for random numbers."""
+    """Seed of the random numbers, hexadecimal."""
     limits: Limits = Limits()
     known: dict[str, Any] | None = None
-    """The list of endpoints as last held."""
+    """The endpoint list as last known."""
     settings: SettingsFile
     peers: list[str] = []
-    """The other nodes, host:port each: notes go to them and come from them, where `mayTell` holds."""
+    """The other nodes, host:port each: gossip is exchanged with them if `mayTell` is set."""
     dynamic_settings: DynamicSettingsFile | None = None
-    """Where the node follows changes of its settings; without it they wait for a restart."""
+    """Where the node gets changes of its settings; without it, changes need a restart."""
     watch: dict[str, Any] | None = None
-    """Settings to lay over those in force and to watch: what they would have decided otherwise is counted."""
+    """Trial settings, as overrides of those in force: decisions that they would have changed are counted."""
 
     @field_validator("listen", "discovery")
     @classmethod
@@ -207,7 +207,9 @@
         cls, value: dict[str, Any] | None, info: ValidationInfo
     ) -> dict[str, Any] | None:
         if value is not None and info.data.get("dynamic_settings") is not None:
-            raise ValueError("not together with dynamic_settings: settings on trial need ones that stay")
+            raise ValueError(
+                "cannot be combined with dynamic_settings: trial settings are compared with fixed ones"
+            )
         return value
 
     @field_validator("seed")
@@ -226,7 +228,7 @@
     "discovery": "RELAY_DISCOVERY",
     "state": "RELAY_STATE",
 }
-"""The variable that stands above each of these keys."""
+"""The environment variable that overrides each of these keys."""
 
 
 def _check_address(text: str) -> None:
--- a/tests/cli/test_lab_commands.py
+++ b/tests/cli/test_lab_commands.py
@@ -27,7 +27,7 @@
         (["run", "small.toml", "--set", "senders.count=65"], 1, "64 at the most"),
         (["compare", "a", "b"], 2, "no results there"),
         (["report", "a"], 2, "no results there"),
-        (["sweep", "small.toml"], 2, "experiment: is due"),
+        (["sweep", "small.toml"], 2, "experiment: required key is missing"),
     ],
 )
 def test_bad_input_is_one_clear_message(
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""Files that people write: every problem at once, each with its key and what is due."""
+"""Configuration files: all problems are reported at once, each with its key and what was expected."""
 
 import json
 import tomllib
@@ -26,66 +26,66 @@
 
 
 CASES: list[tuple[str, Callable[[dict[str, Any]], Any], dict[str, str]]] = [
-    ("a key that is due", without("lanes"), {"settings.lanes": "is due"}),
+    ("a missing required key", without("lanes"), {"settings.lanes": "required key is missing"}),
     (
-        "a near miss",
+        "a misspelled key",
         lambda s: s["allowed"].update(mostHeldd=3),
-        {"settings.allowed.mostHeldd": "is 'mostHeld' meant?"},
+        {"settings.allowed.mostHeldd": "did you mean 'mostHeld'?"},
     ),
     (
-        "a near miss in a list",
+        "a misspelled key in a list",
         lambda s: s["lanes"][1].update(reapeat="x"),
-        {"settings.lanes[1].reapeat": "is 'repeat' meant?"},
+        {"settings.lanes[1].reapeat": "did you mean 'repeat'?"},
     ),
     (
-        "a text for a number",
+        "a string for a number",
         lambda s: s["extra"].update(maxCalls="10"),
-        {"settings.extra.maxCalls": "not '10'"},
+        {"settings.extra.maxCalls": "got '10'"},
     ),
     (
-        "a number below its least",
+        "a number below its minimum",
         lambda s: s["allowed"].update(attemptsCap=0),
-        {"settings.allowed.attemptsCap": "not 0"},
+        {"settings.allowed.attemptsCap": "got 0"},
     ),
     (
-        "two figures that contradict each other",
+        "a deadline before the latency target",
         lambda s: s["lanes"][0].update(hardLimit=1.0),
         {"settings.lanes[0]": "hardLimit (1) is below slo (3)"},
     ),
     (
-        "a prefix that ends anywhere",
+        "a prefix without a final slash",
         lambda _: {"dynamic_settings": {"members": ["10.0.0.1:2379"], "prefix": "/settings"}},
-        {"dynamic_settings.prefix": "not '/settings'"},
+        {"dynamic_settings.prefix": "got '/settings'"},
     ),
     (
         "a member without a port",
         lambda _: {"dynamic_settings": {"members": ["10.0.0.1"], "prefix": "/s/"}},
-        {"dynamic_settings.members": "host:port is due, not '10.0.0.1'"},
+        {"dynamic_settings.members": "expected host:port, got '10.0.0.1'"},
     ),
     (
-        "settings on trial beside settings that change",
+        "trial settings with dynamic settings",
         lambda _: {"dynamic_settings": {"members": ["10.0.0.1:2379"], "prefix": "/s/"}, "watch": {}},
-        {"watch": "not together with dynamic_settings"},
+        {"watch": "cannot be combined with dynamic_settings"},
     ),
     (
-        "three at once",
+        "three problems at once",
         lambda s: (s.pop("shapes"), s["lanes"][0].update(slo=-1.0), s.update(weights="heavy")),
         {
-            "settings.shapes": "is due",
-            "settings.lanes[0].slo": "not -1",
-            "settings.weights": "not 'heavy'",
+            "settings.shapes": "required key is missing",
+            "settings.lanes[0].slo": "got -1",
+            "settings.weights": "got 'heavy'",
         },
     ),
 ]
 
 
-@pytest.mark.parametrize(("what", "spoil", "due"), CASES, ids=[case[0] for case in CASES])
+@pytest.mark.parametrize(("what", "change", "expected"), CASES, ids=[case[0] for case in CASES])
 def test_all_problems_are_reported_with_their_keys(
     tmp_path: Path, what: str, change: Callable[[dict[str, Any]], Any], expected: dict[str, str]
 ) -> None:
     raw = json.loads(EXAMPLE.read_bytes())
     top_level = change(raw["settings"])
-    if isinstance(top_level, dict):  # keys beside the settings
+    if isinstance(top_level, dict):  # keys beside `settings`
         raw.update(top_level)
     path = tmp_path / "node.json"
     path.write_text(json.dumps(raw))
@@ -98,11 +98,11 @@
 @pytest.mark.parametrize(
     ("name", "content", "text"),
     [
-        ("a.toml", b"x = ", "no TOML"),
-        ("a.json", b"{", "no JSON"),
-        ("a.json", b"[]", "a table"),
-        ("a.toml", b"\xff", "no TOML"),
-        ("a.json", b"[" * 100_000, "no JSON"),
+        ("a.toml", b"x = ", "invalid TOML"),
+        ("a.json", b"{", "invalid JSON"),
+        ("a.json", b"[]", "expected a table"),
+        ("a.toml", b"\xff", "invalid TOML"),
+        ("a.json", b"[" * 100_000, "invalid JSON"),
     ],
 )
 def test_a_file_in_another_format_is_one_problem(
@@ -115,7 +115,7 @@
 def test_a_missing_file_and_one_of_unknown_kind(tmp_path: Path) -> None:
     assert "cannot be read" in problems(tmp_path / "none.toml")[""]
     (tmp_path / "a.toml").write_text("colour = 'red'")
-    assert "no known kind" in problems(tmp_path / "a.toml", "auto")[""]
+    assert "unknown kind" in problems(tmp_path / "a.toml", "auto")[""]
 
 
 def test_the_schema_has_every_key_of_the_example() -> None:
