--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -18,9 +18,9 @@
 def main() -> int:
     """Run the checks in turn; the first that fails ends the run with its exit code."""
     for check in CHECKS:
-        code = subprocess.run([sys.executable, *check], cwd=ROOT, check=False).returncode
-        if code:
-            return code
+        exit_code = subprocess.run([sys.executable, *check], cwd=ROOT, check=False).returncode
+        if exit_code:
+            return exit_code
     return 0
 
 
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -105,7 +105,7 @@
         ("a.json", b"[" * 100_000, "invalid JSON"),
     ],
 )
-def test_a_file_in_another_format_is_one_problem(
+def test_a_file_that_does_not_parse_is_one_problem(
     tmp_path: Path, name: str, content: bytes, text: str
 ) -> None:
     (tmp_path / name).write_bytes(content)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,41 +11,43 @@
 import pytest
 import structlog
 
-MOST = 3
-FILE = "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
 
 
 @pytest.fixture(autouse=True)
-def _logging_as_before() -> Iterator[None]:
+def _restore_logging() -> Iterator[None]:
     """What a command run in the tests' own process sets up for logging does not outlast its test."""
-    before = structlog.get_config()
+    config = structlog.get_config()
     yield
-    structlog.configure(**before)
+    structlog.configure(**config)
 
 
-def known_red(root: Path) -> dict[str, str]:
+def known_failures(root: Path) -> dict[str, str]:
     """The reason for each test that is known to fail; raises `UsageError` for a file that is not as due."""
-    file = root / FILE
+    file = root / KNOWN_FAILURES_FILE
     lines = [line for line in file.read_text().splitlines() if line.strip()] if file.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{FILE}: {MOST} lines at most, not {len(lines)}")
-    named: dict[str, str] = {}
+    if len(lines) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"{KNOWN_FAILURES_FILE}: {MAX_KNOWN_FAILURES} lines at most, not {len(lines)}"
+        )
+    reasons: dict[str, str] = {}
     for line in lines:
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts):
-            raise pytest.UsageError(f"{FILE}: test | cause | issue is due, not {line!r}")
-        named[parts[0]] = f"{parts[1]} (issue: {parts[2]})"
-    return named
+            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: test | cause | issue is due, not {line!r}")
+        reasons[parts[0]] = f"{parts[1]} (issue: {parts[2]})"
+    return reasons
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    named = known_red(config.rootpath)
+    reasons = known_failures(config.rootpath)
     for item in items:
-        if (reason := named.pop(item.nodeid, None)) is not None:
+        if (reason := reasons.pop(item.nodeid, None)) is not None:
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
-    if named and not config.invocation_params.args:  # a part of the tests need not hold them all
-        raise pytest.UsageError(f"{FILE}: no such test: {', '.join(named)}")
+    if reasons and not config.invocation_params.args:  # a part of the tests need not hold them all
+        raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: no such test: {', '.join(reasons)}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,25 +6,32 @@
 
 import pytest
 
-TESTS = "import pytest\ndef test_red(): assert False\ndef test_green(): pass\n"
-RED, GREEN = "test_them.py::test_red | a cause | an issue", "test_them.py::test_green | a cause | an issue"
+SAMPLE_TESTS = "import pytest\ndef test_red(): assert False\ndef test_green(): pass\n"
+FAILING, PASSING = (
+    "test_them.py::test_red | a cause | an issue",
+    "test_them.py::test_green | a cause | an issue",
+)
 
 
 @pytest.mark.parametrize(
     ("lines", "code", "says"),
     [
-        ([RED], 0, "known red: test_them.py::test_red: a cause (issue: an issue)"),
+        ([FAILING], 0, "known red: test_them.py::test_red: a cause (issue: an issue)"),
         ([], 1, "1 failed"),
         (None, 1, "1 failed"),
-        ([RED, GREEN], 1, "XPASS(strict)"),
-        ([RED, "test_them.py::test_gone | a cause | an issue"], 4, "no such test: test_them.py::test_gone"),
-        ([RED] * 4, 4, "3 lines at most, not 4"),
+        ([FAILING, PASSING], 1, "XPASS(strict)"),
+        (
+            [FAILING, "test_them.py::test_gone | a cause | an issue"],
+            4,
+            "no such test: test_them.py::test_gone",
+        ),
+        ([FAILING] * 4, 4, "3 lines at most, not 4"),
         (["test_them.py::test_red | no issue"], 4, "test | cause | issue is due"),
     ],
 )
-def test_known_faults(tmp_path: Path, lines: list[str] | None, code: int, says: str) -> None:
+def test_known_failures(tmp_path: Path, lines: list[str] | None, code: int, output: str) -> None:
     (tmp_path / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
-    (tmp_path / "test_them.py").write_text(TESTS)
+    (tmp_path / "test_them.py").write_text(SAMPLE_TESTS)
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
     if lines is not None:
         (tmp_path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
@@ -32,4 +39,4 @@
         [sys.executable, "-m", "pytest"], cwd=tmp_path, capture_output=True, text=True, check=False
     )
     assert run.returncode == code
-    assert says in run.stdout + run.stderr
+    assert output in run.stdout + run.stderr
