--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every check of the project: `python -m tests`."""
+"""Runs all checks of the project: `python -m tests`."""
 
 import subprocess
 import sys
@@ -12,11 +12,11 @@
     ("-c", "import sys; from importlinter.cli import lint_imports_command; sys.exit(lint_imports_command())"),
     ("-m", "pytest"),
 )
-"""Style, types, the direction of imports, behaviour (and, among the tests, the module's size)."""
+"""Style, types, import contracts and tests (which include the decision module's limits)."""
 
 
 def main() -> int:
-    """Run the checks in turn; the first that fails ends the run with its exit code."""
+    """Run the checks in order; stop at the first that fails and return its exit code."""
     for check in CHECKS:
         exit_code = subprocess.run([sys.executable, *check], cwd=ROOT, check=False).returncode
         if exit_code:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""What holds for all tests: logging as before each, and the tests that are known to fail.
+"""Fixtures and hooks for all tests: logging is restored after each test, and known failures are expected.
 
-`KNOWN-RED.txt` at the root names those that fail for a fault of the project's own. A line each: the test's
-id, the cause and the issue, with ` | ` between them. A run passes over just these and prints them. It fails
-on a fourth, on one that passes, and on a line that names no test of a whole run.
+`KNOWN-RED.txt` in the root directory lists the tests that fail because of a known fault of this project. Each
+line has the test's id, the cause and the issue, separated by ` | `. These tests are expected to fail and are
+printed at the end of a run. The run fails if the file has more than three lines, if a listed test passes, or
+if a line names no test (checked only when the whole suite runs).
 """
 
 from collections.abc import Iterator
@@ -17,14 +18,14 @@
 
 @pytest.fixture(autouse=True)
 def _restore_logging() -> Iterator[None]:
-    """What a command run in the tests' own process sets up for logging does not outlast its test."""
+    """Undo the logging configuration of commands that a test runs in its own process."""
     config = structlog.get_config()
     yield
     structlog.configure(**config)
 
 
 def known_failures(root: Path) -> dict[str, str]:
-    """The reason for each test that is known to fail; raises `UsageError` for a file that is not as due."""
+    """The reason for each test that is known to fail; raises `UsageError` if the file is malformed."""
     file = root / KNOWN_FAILURES_FILE
     lines = [line for line in file.read_text().splitlines() if line.strip()] if file.exists() else []
     if len(lines) > MAX_KNOWN_FAILURES:
@@ -46,7 +47,7 @@
     for item in items:
         if (reason := reasons.pop(item.nodeid, None)) is not None:
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
-    if reasons and not config.invocation_params.args:  # a part of the tests need not hold them all
+    if reasons and not config.invocation_params.args:  # a run of selected tests need not include them all
         raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: no such test: {', '.join(reasons)}")
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The file of known faults passes over just what it names, and never grows."""
+"""KNOWN-RED.txt: only the tests that it names are expected to fail, and its length is limited."""
 
 import subprocess
 import sys
@@ -6,32 +6,32 @@
 
 import pytest
 
-SAMPLE_TESTS = "import pytest\ndef test_red(): assert False\ndef test_green(): pass\n"
+SAMPLE_TESTS = "import pytest\ndef test_failing(): assert False\ndef test_passing(): pass\n"
 FAILING, PASSING = (
-    "test_them.py::test_red | a cause | an issue",
-    "test_them.py::test_green | a cause | an issue",
+    "test_sample.py::test_failing | a cause | an issue",
+    "test_sample.py::test_passing | a cause | an issue",
 )
 
 
 @pytest.mark.parametrize(
-    ("lines", "code", "says"),
+    ("lines", "code", "output"),
     [
-        ([FAILING], 0, "known red: test_them.py::test_red: a cause (issue: an issue)"),
+        ([FAILING], 0, "known red: test_sample.py::test_failing: a cause (issue: an issue)"),
         ([], 1, "1 failed"),
         (None, 1, "1 failed"),
         ([FAILING, PASSING], 1, "XPASS(strict)"),
         (
-            [FAILING, "test_them.py::test_gone | a cause | an issue"],
+            [FAILING, "test_sample.py::test_missing | a cause | an issue"],
             4,
-            "no such test: test_them.py::test_gone",
+            "no such test: test_sample.py::test_missing",
         ),
         ([FAILING] * 4, 4, "3 lines at most, not 4"),
-        (["test_them.py::test_red | no issue"], 4, "test | cause | issue is due"),
+        (["test_sample.py::test_failing | no issue"], 4, "test | cause | issue is due"),
     ],
 )
 def test_known_failures(tmp_path: Path, lines: list[str] | None, code: int, output: str) -> None:
     (tmp_path / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
-    (tmp_path / "test_them.py").write_text(SAMPLE_TESTS)
+    (tmp_path / "test_sample.py").write_text(SAMPLE_TESTS)
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
     if lines is not None:
         (tmp_path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
