--- a/irisstack/node/notices.py
+++ b/irisstack/node/notices.py
@@ -11,7 +11,7 @@
 
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.store import Entry, Store
 
@@ -29,7 +29,7 @@
 log = structlog.get_logger()
 
 
-class Notices:
+class NoticeSender:
     """Posts notices with one request at a time; those that come meanwhile go with the next request."""
 
     def __init__(self, peer: HostPort, store: Store, counters: Counters) -> None:
@@ -41,12 +41,12 @@
         self._socket: socket.socket | None = None
         self._timeout = FIRST_TIMEOUT
 
-    def owe(self, entry: Entry) -> None:
+    def add(self, entry: Entry) -> None:
         """Post a notice of this message."""
         self._pending[entry.number] = entry
         self._wake.set()
 
-    def move(self, peer: HostPort) -> None:
+    def set_peer(self, peer: HostPort) -> None:
         """Post to another address from now on; a request under way is aborted and sent there instead.
 
         Notices are idempotent: it does no harm if the old address has taken the request.
@@ -89,11 +89,11 @@
 
     def _post(self, body: bytes) -> int:
         """The status of one POST; 0 if no whole answer came."""
-        buffer, reader = Buffer(), http.AnswerReader()
+        buffer, reader = Buffer(), http.ResponseReader()
         timeout = min(self._timeout, REQUEST_TIMEOUT)
         deadline = time.monotonic() + timeout
         try:
-            if self._socket is not None and not sockets.quiet(self._socket):
+            if self._socket is not None and not sockets.nothing_to_read(self._socket):
                 self._close()
             peer = self._peer
             connection = self._socket = self._socket or sockets.connect(peer, timeout)
@@ -101,7 +101,9 @@
                 raise ConnectionAbortedError("the platform has moved")
             connection.settimeout(max(0.001, deadline - time.monotonic()))
             connection.sendall(
-                http.request("POST", "/reports", name_of(peer), [("Content-Type", "application/json")], body)
+                http.request(
+                    "POST", "/reports", format_host_port(peer), [("Content-Type", "application/json")], body
+                )
             )
             while (answer := reader.advance(buffer)) is None:
                 if not sockets.receive_before(connection, buffer, deadline):
--- a/irisstack/node/peers.py
+++ b/irisstack/node/peers.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from irisstack import interface as api
-from irisstack.node.config import HostPort, name_of
+from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 
 MAX_DATAGRAM = 256
@@ -20,7 +20,7 @@
 log = structlog.get_logger()
 
 
-class Peers:
+class GossipSocket:
     """One UDP socket at the node's own address. Datagrams may be lost, late or doubled; none is answered."""
 
     def __init__(
@@ -63,7 +63,7 @@
             if read % READS_PER_TURN == 0:
                 gevent.sleep(0)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer: int | None, data: bytes) -> None:
         """Send to one peer, or to all for `None`; a failed send is counted and not repeated."""
         for to in self._peers if peer is None else self._peers[peer : peer + 1]:
             try:
@@ -71,7 +71,7 @@
                 self._counters.add("notes_told")
             except OSError as error:
                 self._counters.add("notes_untold")
-                log.debug("note_untold", peer=name_of(to), error=error.strerror)
+                log.debug("note_untold", peer=format_host_port(to), error=error.strerror)
 
     def close(self) -> None:
         self._socket.close()
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -16,15 +16,15 @@
 from irisstack import interface as api
 from irisstack.common import logs
 from irisstack.node import sockets
-from irisstack.node.config import Config, ConfigError, DynamicSettings, load, name_of, peer_of
+from irisstack.node.config import Config, ConfigError, DynamicSettings, format_host_port, load, to_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.decider import Decider, NewSettings
-from irisstack.node.discovery import Discovery, Moved
-from irisstack.node.endpoint import Call, ChangeTerms, Command, Endpoint, Retire
+from irisstack.node.discovery import AddressChanged, Discovery
+from irisstack.node.endpoint import Call, Command, Endpoint, Reconfigure, Retire
 from irisstack.node.intake import Intake, Stage
 from irisstack.node.list_reader import ListReader
-from irisstack.node.notices import Notices
-from irisstack.node.peers import Peers
+from irisstack.node.notices import NoticeSender
+from irisstack.node.peers import GossipSocket
 from irisstack.node.retry import retry
 from irisstack.node.store import Store
 from irisstack.settings import SettingsError
@@ -71,9 +71,9 @@
         if config.dynamic_settings is not None:
             self._start_dynamic_settings(config.dynamic_settings)
         settings = self._settings = config.settings if self._live is None else self._live.in_force.settings
-        self._notices = Notices(config.discovery, self._store, self.counters)
-        most_waiting = 0 if self._live is None else MOST_WAITING_LINES
-        self._reader = ListReader(settings, most_waiting, self._store.clock)
+        self._notices = NoticeSender(config.discovery, self._store, self.counters)
+        max_waiting = 0 if self._live is None else MOST_WAITING_LINES
+        self._reader = ListReader(settings, max_waiting, self._store.clock)
         known = self._known(self._reader)
         self._discovery = Discovery(
             config.discovery,
@@ -93,28 +93,28 @@
             self.counters,
             call=self._to_endpoint,
             ask=self._discovery.mailbox.put,
-            notice=self._notices.owe,
+            notice=self._notices.add,
             room=self._mailbox_room(settings),
             tell=self._tell,
             trial=config.trial,
             settings_taken=None if self._live is None else self._take_settings,
         )
-        self._peers: Peers | None = None
+        self._peers: GossipSocket | None = None
         if config.peers:
-            peers = partial(Peers, config.listen, config.peers, self._decider.heard, self.counters)
-            self._peers = sockets.persist(peers, LISTEN_WITHIN)
+            peers = partial(GossipSocket, config.listen, config.peers, self._decider.heard, self.counters)
+            self._peers = sockets.retry_while_out_of_resources(peers, LISTEN_WITHIN)
         self._intake = Intake(
             config.listen, settings, self._decider.mailbox.put, self.counters, self._most_clients
         )
         if self._live is not None:
-            self._intake.offer(settings, self._live.in_force.classes, self._live.in_force.tenants)
+            self._intake.update_settings(settings, self._live.in_force.classes, self._live.in_force.tenants)
         self._follow(known)
         self._decider.recover(known)
 
     def _known(self, reader: ListReader) -> api.EndpointsUpdated:
         empty = {"revision": 0, "members": []}
         try:
-            return reader.update({**empty, **self._config.known}, api.UpdateScope.CACHED)
+            return reader.parse_update({**empty, **self._config.known}, api.UpdateScope.CACHED)
         except (ValueError, KeyError, TypeError):
             raise ConfigError("known: no list of endpoints") from None
 
@@ -127,17 +127,17 @@
                 runs.append(self._peers.run)
             if self._settings_watch is not None:
                 runs.append(self._settings_watch.run)
-            sockets.persist(self._intake.start, LISTEN_WITHIN)
+            sockets.retry_while_out_of_resources(self._intake.start, LISTEN_WITHIN)
         except OSError as error:
-            raise ConfigError(f"listen: {name_of(self._config.listen)}: {error.strerror}") from None
+            raise ConfigError(f"listen: {format_host_port(self._config.listen)}: {error.strerror}") from None
         parts = [gevent.spawn(run) for run in runs]
         for part in parts:
             part.link_exception(self._broken)
         log.info(
             "serving",
             name=self._config.name,
-            listen=name_of(self._config.listen),
-            discovery=name_of(self._config.discovery),
+            listen=format_host_port(self._config.listen),
+            discovery=format_host_port(self._config.discovery),
             **self.counters.snapshot(),
         )
         self._stop.wait()
@@ -152,7 +152,7 @@
             self._reread.wait()
             self._reread.clear()
             try:
-                new = load(anew=True)
+                new = load(reload=True)
             except ConfigError as error:
                 log.error("configuration_not_taken", error=str(error))
                 continue
@@ -160,15 +160,15 @@
                 log.error("configuration_not_taken", error=repr(error))
                 continue
             if new.discovery != self._config.discovery:
-                self._discovery.mailbox.put(Moved(new.discovery))
-                self._notices.move(new.discovery)
+                self._discovery.mailbox.put(AddressChanged(new.discovery))
+                self._notices.set_peer(new.discovery)
             waiting = [
                 field.name
                 for field in fields(Config)
                 if field.name not in FOLLOWED
                 and getattr(new, field.name) != getattr(self._config, field.name)
             ]
-            log.info("configuration_taken", discovery=name_of(new.discovery), await_restart=waiting)
+            log.info("configuration_taken", discovery=format_host_port(new.discovery), await_restart=waiting)
             self._config = replace(self._config, discovery=new.discovery)
 
     def _broken(self, part: "gevent.Greenlet[..., None]") -> None:
@@ -190,7 +190,7 @@
             owed = any(entry.owed for entry in self._store.entries.values())
             if (
                 self._intake.stage is Stage.CLOSED
-                and self._intake.empty
+                and self._intake.no_clients
                 and not self._decider.calls_out
                 and self._notices.idle
                 and (self._decider.holding or not owed)
@@ -203,13 +203,13 @@
         if self._peers is not None:
             self._peers.close()
         self._store.close()
-        log.info("stopped", clients_left=not self._intake.empty, **self.counters.snapshot())
+        log.info("stopped", clients_left=not self._intake.no_clients, **self.counters.snapshot())
 
     # ---- between the parts ----
 
     def _tell(self, peer: int | None, data: bytes) -> None:
         if self._peers is not None:
-            self._peers.tell(peer, data)
+            self._peers.send(peer, data)
 
     def _listed(self, update: api.EndpointsUpdated) -> None:
         self._follow(update)
@@ -230,7 +230,7 @@
             self._retire(self._endpoints.pop(address))
 
     def _retire(self, endpoint: Endpoint) -> None:
-        log.info("endpoint_retired", endpoint=name_of(peer_of(endpoint.address)))
+        log.info("endpoint_retired", endpoint=format_host_port(to_host_port(endpoint.address)))
         endpoint.mailbox.put(Retire())
         self._retired = [*(old for old in self._retired if not old.worker.dead), endpoint]
 
@@ -246,14 +246,14 @@
     def _start_endpoint(self, address: api.Address) -> Endpoint:
         endpoint = Endpoint(
             address,
-            peer_of(address),
+            to_host_port(address),
             self._decider.mailbox.put,
             self._store,
             self.counters,
             connect_timeout=self._settings.connect_timeout,
-            idle_limit=self._settings.keepalive,
-            most_idle=self._most_idle(),
-            most_calls=self._settings.max_calls,
+            idle_timeout=self._settings.keepalive,
+            max_idle_connections=self._most_idle(),
+            max_calls=self._settings.max_calls,
             report_fields=self._settings.report_fields,
         )
         endpoint.worker.start()
@@ -328,7 +328,7 @@
             self._accept_settings,
             self.counters,
             # Nodes that were given one seed, or none, must not all ask one member at one time.
-            zlib.crc32(f"{config.name} {name_of(config.listen)} {config.seed}".encode()),
+            zlib.crc32(f"{config.name} {format_host_port(config.listen)} {config.seed}".encode()),
         )
 
     def _check_settings(self, items: Mapping[str, Any]) -> "AcceptedSettings":
@@ -359,12 +359,12 @@
         Returns what can now be read of the list.
         """
         settings = self._settings = new.settings
-        self._intake.offer(settings, new.classes, new.tenants)
+        self._intake.update_settings(settings, new.classes, new.tenants)
         self._decider.make_room(self._mailbox_room(settings))
-        update = self._reader.follow(settings)
+        update = self._reader.apply_settings(settings)
         if update is not None:
             self._follow(update)
-        terms = ChangeTerms(
+        terms = Reconfigure(
             settings.connect_timeout,
             settings.keepalive,
             self._most_idle(),
--- a/tests/node/settings_support.py
+++ b/tests/node/settings_support.py
@@ -13,7 +13,7 @@
 
 from irisstack.lab.standins import etcd
 from irisstack.lab.standins.etcd_server import EtcdServer
-from tests.node_support import SETTINGS, EndpointPeer, Node, PlatformPeer, eventually
+from tests.node_support import SETTINGS, Node, ScriptedEndpoint, ScriptedPlatform, eventually
 
 PREFIX = "/irisstack/settings/"
 LOOK = 0.005
@@ -23,7 +23,7 @@
 """The classes of the node's file, by name."""
 
 
-def lanes(*names: str, **others: Mapping[str, Any]) -> dict[str, Any]:
+def lane_items(*names: str, **others: Mapping[str, Any]) -> dict[str, Any]:
     """Items of these classes of the file, and of others."""
     return {f"lanes/{name}": lane for name, lane in [*((n, LANES[n]) for n in names), *others.items()]}
 
@@ -69,13 +69,13 @@
         self._thread.join()
 
 
-def logged(node: Node, event: str) -> list[dict[str, Any]]:
+def logged_events(node: Node, event: str) -> list[dict[str, Any]]:
     """The node's lines of this event, of all of its lives."""
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
-def in_force(node: Node, revision: int) -> None:
+def wait_until_in_force(node: Node, revision: int) -> None:
     """Wait until a revision, or a later one, is in force in this life of the node."""
 
     def reached() -> bool:
@@ -91,15 +91,15 @@
 
 
 @contextlib.contextmanager
-def changing(
-    folder: Path, *endpoints: EndpointPeer, start: bool = True, **raw: Any
-) -> Iterator[tuple[Node, PlatformPeer, SettingsCluster]]:
+def dynamic_settings_node(
+    folder: Path, *endpoints: ScriptedEndpoint, start: bool = True, **raw: Any
+) -> Iterator[tuple[Node, ScriptedPlatform, SettingsCluster]]:
     """A node that follows a cluster, which has published nothing yet; the endpoints are of destination 1."""
-    platform, cluster = PlatformPeer(), SettingsCluster()
+    platform, cluster = ScriptedPlatform(), SettingsCluster()
     for number, peer in enumerate(endpoints, start=1):
-        platform.list(peer, number, cell=1)
+        platform.add_member(peer, number, cell=1)
     node = Node(folder, platform)
-    node.raw.update(dynamic_settings={"members": cluster.addresses, "prefix": PREFIX}, **raw)
+    node.config_data.update(dynamic_settings={"members": cluster.addresses, "prefix": PREFIX}, **raw)
     try:
         yield node.start() if start else node, platform, cluster
     finally:
