--- a/irisstack/benchlink/codec.py
+++ b/irisstack/benchlink/codec.py
@@ -166,7 +166,7 @@
                 instance, message, message_class, tenant, key, due, work, destination, flags = _unpack(
                     MESSAGE_RECEIVED, body
                 )
-                work_hint = work if flags & 1 else None
+                work_hint = work if flags & 1 else None  # bit 0: the work is known
                 return instance, MessageReceived(
                     message,
                     message_class,
@@ -186,6 +186,7 @@
                 fields = _unpack(ATTEMPT_ENDED, body, exact=False)
                 instance, message, host, port, attempt, elapsed, final, detail, outcome_code, count = fields
                 outcome = _lookup(OUTCOMES, outcome_code, "outcome")
+                # `detail` is the retry-after in ms for FULL, and 1 for NOT_SENT if no slot was free.
                 retry_after = detail / 1000.0 if outcome is Outcome.FULL and detail else None
                 no_free_slot = outcome is Outcome.NOT_SENT and detail == 1
                 return instance, AttemptEnded(
--- a/irisstack/interface.py
+++ b/irisstack/interface.py
@@ -163,7 +163,7 @@
     over_share_worth: float
     """Worth of a tenant's messages beyond its allowance, relative to those within it."""
     answer_slack: float
-    """Seconds after its due time by which a message must have its final answer."""
+    """Seconds after its deadline within which a message must have its final answer."""
     drain_grace: float
     """Seconds for which an endpoint may still be called after it began to drain."""
     warmup_start_share: float
@@ -224,6 +224,7 @@
     message_class: int
     destination: int
     due: float
+    """Time of its deadline."""
     tenant: int = 0
     key: int | None = None
     work_hint: float | None = None
