--- a/irisstack/settings.py
+++ b/irisstack/settings.py
@@ -112,10 +112,10 @@
     allowed, extra, invariants, report, tariffs = (
         raw.section(key) for key in ("allowed", "extra", "invariants", "report", "tariffs")
     )
-    names, zones = raw.texts("shapes"), raw.texts("failureDomains")
+    kind_names, zones = raw.texts("shapes"), raw.texts("failureDomains")
     max_batches, separate_routes = (
-        extra.per_name("batchByKind", names, 1),
-        extra.per_name("separateRoutes", names, False),
+        extra.per_name("batchByKind", kind_names, 1),
+        extra.per_name("separateRoutes", kind_names, False),
     )
     for i, (max_batch, separate) in enumerate(zip(max_batches, separate_routes, strict=True)):
         if isinstance(max_batch, bool) or not isinstance(max_batch, int) or max_batch < 1:
@@ -126,7 +126,7 @@
             raise SettingsError(
                 f"{extra.path('separateRoutes')}[{i}]: expected true or false, got {separate!r}"
             )
-    kinds = tuple(map(DestinationKind, names, max_batches, separate_routes))
+    kinds = tuple(map(DestinationKind, kind_names, max_batches, separate_routes))
     zone, cross_zone_price = raw.integer("az", 0), tariffs.number("crossZone", 0.0)
     if zone < 0 or zone >= max(1, len(zones)):
         raise SettingsError(f"{raw.path('az')}: expected the index of one of {len(zones)} zones, got {zone}")
