--- a/benchmarks/owed_messages.py
+++ b/benchmarks/owed_messages.py
@@ -63,8 +63,8 @@
     for start in range(1, messages + 1, RECORDS_A_WRITE):
         numbers = range(start, min(start + RECORDS_A_WRITE, messages + 1))
         for number in numbers:
-            store.take(_entry(number, now + DEADLINE_S))
-        store.write([store.taken(number) for number in numbers], now)
+            store.add(_entry(number, now + DEADLINE_S))
+        store.write([store.accepted_record(number) for number in numbers], now)
 
 
 def _entry(number: int, due: float) -> Entry:
@@ -138,7 +138,7 @@
             began = time.process_time()
             store.write(records, now)
             longest = max(longest, time.process_time() - began)
-            store.drop_ended(now)
+            store.drop_expired(now)
             number += PASSING_A_WRITE
             written += sum(len(record) for record in records)
         store.close()
@@ -148,8 +148,12 @@
 def _come_and_go(store: Store, numbers: range, now: float) -> list[bytes]:
     """The records of messages that are taken on and delivered in one turn."""
     for number in numbers:
-        store.take(_entry(number, now - 1.0))
-    return [record for number in numbers for record in (store.taken(number), store.over(number, "delivered"))]
+        store.add(_entry(number, now - 1.0))
+    return [
+        record
+        for number in numbers
+        for record in (store.accepted_record(number), store.finish(number, "delivered"))
+    ]
 
 
 COMPACTION = Measurement(
--- a/irisstack/node/counters.py
+++ b/irisstack/node/counters.py
@@ -13,7 +13,7 @@
         """Increase a counter, which begins at 0."""
         self._counts[name] += count
 
-    def raise_to(self, name: str, value: int) -> None:
+    def record_max(self, name: str, value: int) -> None:
         """Keep the largest value that was seen under a name."""
         self._counts[name] = max(self._counts[name], value)
 
--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -22,13 +22,13 @@
 from irisstack.node.counters import Counters
 from irisstack.node.endpoint import Call, CallOff, CloseIdle, Command, Ended, Hold, Outgoing
 from irisstack.node.mailbox import enlarge
-from irisstack.node.record_clock import StepWatch
+from irisstack.node.record_clock import StepDetector
 from irisstack.node.store import Entry, Store
 from irisstack.watch import Watching
 
 NO_TOKEN = -1
 """Of a timer that the node set for itself."""
-COME_AGAIN = 1.0
+REJECTION_RETRY_AFTER = 1.0
 """Seconds after which one that finds no room here may come again, where the settings allow such advice."""
 
 FOLDER_RETRY = 0.05
@@ -37,9 +37,9 @@
 log = structlog.get_logger()
 
 
-def come_again(settings: api.Settings) -> float | None:
+def rejection_retry_after(settings: api.Settings) -> float | None:
     """The advice for one that finds no room here."""
-    return min(COME_AGAIN, settings.max_retry_after) if settings.advises_retry_after else None
+    return min(REJECTION_RETRY_AFTER, settings.max_retry_after) if settings.advises_retry_after else None
 
 
 class Client(Protocol):
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Arrival:
+class Submission:
     """A message that a client hands in."""
 
     client: Client
@@ -65,12 +65,12 @@
     body: bytes
 
 
-class TurnedAway(Enum):
+class RejectReason(Enum):
     """Why a message is not taken on by the node itself, whatever would be decided for it."""
 
     STOPPING = "stopping"
-    FOLDER_FAILS = "folder_fails"
-    FOLDER_FULL = "folder_full"
+    STATE_DIRECTORY_FAILING = "folder_fails"
+    STATE_DIRECTORY_FULL = "folder_full"
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,7 +86,7 @@
     """For whom new messages are taken on."""
 
 
-Item = Arrival | Ended | api.EndpointsUpdated | api.PeerMessage | NewSettings
+Item = Submission | Ended | api.EndpointsUpdated | api.PeerMessage | NewSettings
 """What comes to the decider's mailbox."""
 
 
@@ -94,11 +94,11 @@
 class _Turn:
     """What one turn brings about, in the order in which it is carried out."""
 
-    arrivals: dict[int, Arrival] = field(default_factory=dict)
+    arrivals: dict[int, Submission] = field(default_factory=dict)
     records: list[bytes] = field(default_factory=list)
     ends: list[Entry] = field(default_factory=list)  # of which the platform is to hear
-    answers: list[tuple[Arrival, HTTPStatus, float | None]] = field(default_factory=list)
-    again: list[tuple[Arrival, int]] = field(default_factory=list)  # handed in before, under this number
+    answers: list[tuple[Submission, HTTPStatus, float | None]] = field(default_factory=list)
+    again: list[tuple[Submission, int]] = field(default_factory=list)  # handed in before, under this number
     sends: list[api.Send] = field(default_factory=list)
     others: list[api.Action] = field(default_factory=list)
 
@@ -113,68 +113,68 @@
         store: Store,
         counters: Counters,
         *,
-        call: Callable[[api.Address, Command], None],
-        ask: Callable[[api.Action], None],
-        notice: Callable[[Entry], None],
-        room: int,
-        tell: Callable[[int | None, bytes], None] | None = None,
-        trial: api.Settings | None = None,
-        settings_taken: Callable[[NewSettings], api.EndpointsUpdated | None] | None = None,
+        send_command: Callable[[api.Address, Command], None],
+        request_endpoints: Callable[[api.Action], None],
+        post_notice: Callable[[Entry], None],
+        mailbox_capacity: int,
+        send_gossip: Callable[[int | None, bytes], None] | None = None,
+        trial_settings: api.Settings | None = None,
+        apply_settings: Callable[[NewSettings], api.EndpointsUpdated | None] | None = None,
     ) -> None:
         """`settings_taken` puts other settings in force in all other parts; None where they never change."""
-        self._settings_taken = settings_taken
+        self._settings_taken = apply_settings
         self._classless: list[tuple[float, Entry]] = []  # owed till then, under classes not known yet
         self._sender = Sender(settings, seed)
-        if trial is not None:
-            self._sender = Watching(settings, trial, seed, counters.add)
-        self._tell = tell
+        if trial_settings is not None:
+            self._sender = Watching(settings, trial_settings, seed, counters.add)
+        self._tell = send_gossip
         self._store = store
         self._clock = store.clock
-        self._step_watch = StepWatch()
+        self._step_watch = StepDetector()
         self._counters = counters
-        self._call = call
-        self._ask = ask
-        self._notice = notice
+        self._call = send_command
+        self._ask = request_endpoints
+        self._notice = post_notice
         self.mailbox: Queue[Item] = Queue(1)
-        self.make_room(room)
+        self.set_mailbox_capacity(mailbox_capacity)
         self._next: list[api.Event] = []  # known already, for the next turn
         self._timers: list[tuple[float, int]] = []
-        self._where: dict[int, tuple[api.Address, float]] = {}  # calls out: endpoint, sent at
+        self._in_flight: dict[int, tuple[api.Address, float]] = {}  # calls out: endpoint, sent at
         self._listed: dict[api.Address, api.Endpoint] = {}
         self._untold: list[Entry] = []  # ended, but that is not on record yet
         self._gone: dict[api.Address, float] = {}  # of these, the ones no longer listed, and since when
         self._destinations: set[int] = set()
         self._turned = -1.0
         self._adopt(settings)
-        self.refusing = False  # nothing new is taken on
-        self.holding = False  # nothing more is sent
+        self.rejecting = False  # nothing new is taken on
+        self.sends_stopped = False  # nothing more is sent
 
     def _adopt(self, settings: api.Settings) -> None:
         self._settings = settings
         self._classes = {kind.name: i for i, kind in enumerate(settings.classes)}
         self._remembered = max(kind.deadline for kind in settings.classes)
-        self._come_again = come_again(settings)
+        self._come_again = rejection_retry_after(settings)
 
-    def make_room(self, room: int) -> None:
+    def set_mailbox_capacity(self, room: int) -> None:
         """Let the mailbox hold so many items at least; notes may fill half of it."""
         enlarge(self.mailbox, room)
         self._most_notes = room // 2
 
     @property
-    def calls_out(self) -> int:
-        return len(self._where)
+    def calls_in_flight(self) -> int:
+        return len(self._in_flight)
 
     # ---- the start ----
 
     def recover(self, known: api.EndpointsUpdated) -> None:
         """The list as it was last held, and what an earlier life of this node owes."""
         now = time.monotonic()
-        self._learn(known, now)
+        self._apply_update(known, now)
         owed: list[api.Event] = []
         for _, entry in sorted(self._store.entries.items()):  # in the order in which they were taken on
-            if entry.to_tell:
+            if entry.notice_pending:
                 self._notice(entry)
-            if not entry.owed:
+            if not entry.pending:
                 continue
             if entry.message_class in self._classes:
                 owed.append(self._received(entry))
@@ -239,7 +239,7 @@
                     break
             self._turn(items)
 
-    def heard(self, note: api.PeerMessage) -> bool:
+    def receive_gossip(self, note: api.PeerMessage) -> bool:
         """Take a note, unless the mailbox is half full: clients, calls and the list go first."""
         if self.mailbox.qsize() >= self._most_notes:
             return False
@@ -258,7 +258,7 @@
     def _turn(self, items: Sequence[Item]) -> None:
         now = time.monotonic()
         self._turned = now
-        if (step := self._step_watch.step()) is not None:
+        if (step := self._step_watch.detect()) is not None:
             self._counters.add("wall_clock_steps")
             log.warning("wall_clock_stepped", by_s=round(step, 3))
         turn = _Turn()
@@ -270,12 +270,12 @@
             events += self._recover_classless(now)
         for item in items:
             match item:
-                case Arrival():
+                case Submission():
                     self._arrived(item, turn, events, now)
                 case Ended():
                     self._ended(item, turn, events, now)
                 case api.EndpointsUpdated():
-                    self._learn(item, now)
+                    self._apply_update(item, now)
                     events.append(item)
                 case api.PeerMessage():
                     events.append(item)
@@ -285,7 +285,7 @@
             for action in self._sender.turn(now, events):
                 self._note(action, turn, now)
         self._carry_out(turn, now)
-        self._store.drop_ended(self._clock.to_record(now))
+        self._store.drop_expired(self._clock.to_record_time(now))
 
     # ---- events ----
 
@@ -301,12 +301,12 @@
         events: list[api.Event] = [api.SettingsChanged(newest.settings)]
         update = self._settings_taken(newest)
         if update is not None:
-            self._learn(update, now)
+            self._apply_update(update, now)
             events.append(update)
         log.info("settings_in_force", revision=newest.revision)
         return events
 
-    def _arrived(self, arrival: Arrival, turn: _Turn, events: list[api.Event], now: float) -> None:
+    def _arrived(self, arrival: Submission, turn: _Turn, events: list[api.Event], now: float) -> None:
         store = self._store
         self._counters.add("received")
         if self._destinations and arrival.destination not in self._destinations:
@@ -323,7 +323,7 @@
             self._settings.classes[arrival.message_class].name,
             arrival.tenant,
             arrival.destination,
-            self._clock.to_record(arrival.due),
+            self._clock.to_record_time(arrival.due),
             arrival.is_retry,
             arrival.from_dead_sender,
             arrival.body,
@@ -332,7 +332,7 @@
             self._turn_away(arrival, reason, turn)
             return
         store.next_number += 1
-        store.take(entry)
+        store.add(entry)
         turn.arrivals[entry.number] = arrival
         log.debug(
             "message_received",
@@ -343,27 +343,27 @@
         )
         events.append(self._received(entry))
 
-    def _no_room(self, entry: Entry, now: float) -> "TurnedAway | None":
+    def _no_room(self, entry: Entry, now: float) -> "RejectReason | None":
         """Why a message that came in is not even considered, if there is a reason."""
-        if self.refusing:
-            return TurnedAway.STOPPING
-        if not self._store.may_try:
-            return TurnedAway.FOLDER_FAILS
-        if not self._store.fits(entry, self._clock.to_record(now)):
-            return TurnedAway.FOLDER_FULL
+        if self.rejecting:
+            return RejectReason.STOPPING
+        if not self._store.may_write:
+            return RejectReason.STATE_DIRECTORY_FAILING
+        if not self._store.fits(entry, self._clock.to_record_time(now)):
+            return RejectReason.STATE_DIRECTORY_FULL
         return None
 
-    def _turn_away(self, arrival: Arrival, reason: "TurnedAway", turn: _Turn) -> None:
+    def _turn_away(self, arrival: Submission, reason: "RejectReason", turn: _Turn) -> None:
         self._counters.add("turned_away")
         self._counters.add(f"turned_away_{reason.value}")
         log.debug("message_turned_away", id=arrival.id, reason=reason.value)
         turn.answers.append((arrival, HTTPStatus.SERVICE_UNAVAILABLE, self._come_again))
 
     def _ended(self, ended: Ended, turn: _Turn, events: list[api.Event], now: float) -> None:
-        _, sent = self._where.pop(ended.number)
+        _, sent = self._in_flight.pop(ended.number)
         result = ended.result
         entry = self._store.entries.get(ended.number)
-        owed = entry is not None and entry.owed
+        owed = entry is not None and entry.pending
         if entry is not None:
             log.debug(
                 "attempt_ended",
@@ -379,8 +379,8 @@
             )
         if owed:
             ran = result.outcome not in NOT_RUN
-            turn.records.append(self._store.end(ended.number, ended.attempt, ran))
-            if result.over:
+            turn.records.append(self._store.end_attempt(ended.number, ended.attempt, ran))
+            if result.final:
                 name = "delivered" if result.outcome is api.Outcome.OK else "withdrawn"
                 turn.records.append(self._over(ended.number, name))
         if result.retry_after:
@@ -391,7 +391,7 @@
                 ended.address,
                 ended.attempt,
                 now - sent,
-                result.over or not owed,
+                result.final or not owed,
                 result.outcome,
                 result.retry_after,
                 result.no_free_slot,
@@ -410,11 +410,11 @@
     def _hold(self, address: api.Address, until: float) -> None:
         """A wait was told: what is still connecting to the destination, or the route, must not leave."""
         destination, apart = self._listed[address].destination, self._kind(address).separate_routes
-        for other in {place for place, _ in self._where.values()}:
+        for other in {place for place, _ in self._in_flight.values()}:
             if other == address or (not apart and self._listed[other].destination == destination):
                 self._call(other, Hold(until))
 
-    def _learn(self, update: api.EndpointsUpdated, now: float) -> None:
+    def _apply_update(self, update: api.EndpointsUpdated, now: float) -> None:
         """Keep what a call needs to know of its endpoint, and for whom messages may be.
 
         Both outlast an endpoint by the time that a message may wait: its calls still end, and its destination
@@ -433,7 +433,7 @@
             self._gone.setdefault(address, now)
         for address in here & self._gone.keys():
             del self._gone[address]
-        out = {address for address, _ in self._where.values()}
+        out = {address for address, _ in self._in_flight.values()}
         forgotten = [
             address
             for address, since in self._gone.items()
@@ -455,7 +455,7 @@
 
     def _over(self, number: int, result: str, wait_ms: int = 0) -> bytes:
         self._counters.add(result)
-        return self._store.over(number, result, wait_ms)
+        return self._store.finish(number, result, wait_ms)
 
     def _note(self, action: api.Action, turn: _Turn, now: float) -> None:
         match action:
@@ -483,16 +483,16 @@
         if arrival is not None:
             status = HTTPStatus.TOO_MANY_REQUESTS if result == "bounced" else HTTPStatus.INTERNAL_SERVER_ERROR
             turn.answers.append((arrival, status, wait))
-            self._store.refuse(number)
+            self._store.discard(number)
             self._counters.add("refused" if result == "bounced" else "failed")
         else:
             turn.records.append(self._over(number, result, round((wait or 0.0) * 1000.0)))
             turn.ends.append(self._store.entries[number])
 
     def _carry_out(self, turn: _Turn, now: float) -> None:
-        recorded = self._clock.to_record(now)
-        self._store.note(turn.records)
-        if turn.arrivals and not self._store.admit(turn.arrivals, recorded):
+        recorded = self._clock.to_record_time(now)
+        self._store.enqueue(turn.records)
+        if turn.arrivals and not self._store.record_accepted(turn.arrivals, recorded):
             self._refuse_unrecorded(turn)
         written = self._store.flush(recorded)
         self._tell_ends(turn.ends, written, now)
@@ -516,8 +516,8 @@
     def _refuse_unrecorded(self, turn: _Turn) -> None:
         """Messages that could not be put on record were not taken on, whatever was decided for them."""
         for number, arrival in turn.arrivals.items():
-            self._turn_away(arrival, TurnedAway.FOLDER_FAILS, turn)
-            self._store.refuse(number)
+            self._turn_away(arrival, RejectReason.STATE_DIRECTORY_FAILING, turn)
+            self._store.discard(number)
             self._next.append(api.MessageWithdrawn(number))
         turn.arrivals.clear()
 
@@ -540,8 +540,8 @@
     def _do(self, action: api.Action) -> None:
         match action:
             case api.Cancel(number, attempt):
-                if number in self._where:
-                    self._call(self._where[number][0], CallOff(number, attempt))
+                if number in self._in_flight:
+                    self._call(self._in_flight[number][0], CallOff(number, attempt))
             case api.CloseIdle(address):
                 self._call(address, CloseIdle())
             case api.Subscribe() | api.FetchEndpoints():
@@ -558,14 +558,14 @@
         by_endpoint: dict[api.Address, list[Outgoing]] = {}
         for send in sends:
             entry = self._store.entries.get(send.message)
-            if entry is None or not entry.owed:  # withdrawn in this very turn
+            if entry is None or not entry.pending:  # withdrawn in this very turn
                 self._next.append(
                     api.AttemptEnded(send.message, send.endpoint, 0, 0.0, True, api.Outcome.NOT_SENT)
                 )
                 continue
-            if self.holding:
+            if self.sends_stopped:
                 continue
-            self._where[send.message] = send.endpoint, now
+            self._in_flight[send.message] = send.endpoint, now
             log.debug(
                 "attempt_decided",
                 id=entry.id,
@@ -582,5 +582,7 @@
         for address, messages in by_endpoint.items():
             most = self._kind(address).max_batch
             for start in range(0, len(messages), most):
-                call = Call(messages[start : start + most], self._clock.to_record(now), self._zone(address))
+                call = Call(
+                    messages[start : start + most], self._clock.to_record_time(now), self._zone(address)
+                )
                 self._call(address, call)
--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -179,7 +179,7 @@
 
     def on_word(self, call: ListCall) -> None:
         """The list is known to be the newest; other calls for a watch are not needed any more."""
-        self._counters.raise_to("list_age_longest_ms", round(self._list_age * 1000.0))
+        self._counters.record_max("list_age_longest_ms", round(self._list_age * 1000.0))
         self._confirmed_at = time.monotonic()
         self._failures = 0
         if call not in self._watches:
--- a/irisstack/node/endpoint.py
+++ b/irisstack/node/endpoint.py
@@ -21,13 +21,13 @@
 from irisstack.node.mailbox import enlarge
 from irisstack.node.results import (
     DELIVERED,
-    Ending,
+    EndReason,
     Reached,
     Result,
-    answered,
-    answered_each,
-    name_of_error,
-    unanswered,
+    answer_result,
+    batch_results,
+    error_name,
+    unanswered_result,
 )
 from irisstack.node.store import Store
 
@@ -193,7 +193,7 @@
     ) -> bool:
         """Carry one call and report each message's result; returns whether the connection can be kept."""
         ids = [message.id for message in call.messages]
-        reached, ending, broken_by = Reached.NOTHING, Ending.BROKEN, ""
+        reached, ending, broken_by = Reached.NOTHING, EndReason.BROKEN, ""
         keep = False
         answer: http.Message | None = None
         try:
@@ -212,29 +212,29 @@
             reached = Reached.WRITTEN
             answer = self._read(call.until)
             keep = answer is not None and answer.keep_alive and not len(self._buffer)
-            ending = Ending.BROKEN if answer is not None else Ending.GIVEN_UP
+            ending = EndReason.BROKEN if answer is not None else EndReason.GIVEN_UP
         except _CalledOff:
-            ending = Ending.CALLED_OFF
+            ending = EndReason.CALLED_OFF
             answer = self._received_answer() if reached is Reached.WRITTEN else None
         except _Withheld:
-            ending = Ending.WITHHELD
+            ending = EndReason.WITHHELD
         except sockets.OwnMachineError as error:
-            ending, broken_by = Ending.WITHHELD, name_of_error(error)
+            ending, broken_by = EndReason.WITHHELD, error_name(error)
         except TimeoutError as error:
-            ending, broken_by = Ending.GIVEN_UP, name_of_error(error)
+            ending, broken_by = EndReason.GIVEN_UP, error_name(error)
         except (OSError, http.BadMessage) as error:
-            ending, broken_by = Ending.BROKEN, name_of_error(error)
+            ending, broken_by = EndReason.BROKEN, error_name(error)
         except Exception as error:  # whatever it is, the messages' ends must be told
             log.error("call_failed", peer=name_of(self._peer), error=repr(error))
         call.over = True
         if answer is None and reached is Reached.WRITTEN and len(call.messages) == 1 and self._reader.says_ok:
             results = dict.fromkeys(ids, DELIVERED)
         elif answer is None:
-            results = dict.fromkeys(ids, replace(unanswered(reached, ending), error=broken_by))
+            results = dict.fromkeys(ids, replace(unanswered_result(reached, ending), error=broken_by))
         elif len(call.messages) == 1:
-            results = dict.fromkeys(ids, answered(answer, self._fields))
+            results = dict.fromkeys(ids, answer_result(answer, self._fields))
         else:
-            results = answered_each(answer, ids, self._fields)
+            results = batch_results(answer, ids, self._fields)
         if not keep:
             if self._socket is not None:
                 log.debug("connection_closed", peer=name_of(self._peer), reason=_close_reason(answer, ending))
@@ -301,7 +301,7 @@
         return answer
 
 
-def _close_reason(answer: http.Message | None, ending: Ending) -> str:
+def _close_reason(answer: http.Message | None, ending: EndReason) -> str:
     """Why a connection is not kept after a call: how the call ended, or what its answer said."""
     if answer is None:
         return ending.name.lower()
@@ -432,7 +432,7 @@
 
     def _put_on_record(self, call: Call) -> bool:
         attempts = [(message.number, message.attempt) for message in call.messages]
-        return self._store.out(attempts, call.sent_at, call.zone)
+        return self._store.record_send(attempts, call.sent_at, call.zone)
 
     def _withheld(self, call: Call) -> "Withheld | None":
         """Why a call must not be sent now, if there is a reason."""
--- a/irisstack/node/intake.py
+++ b/irisstack/node/intake.py
@@ -22,7 +22,7 @@
 from irisstack.node.buffer import Buffer
 from irisstack.node.config import HostPort
 from irisstack.node.counters import Counters
-from irisstack.node.decider import Arrival, come_again
+from irisstack.node.decider import Submission, rejection_retry_after
 from irisstack.node.listen_filter import let_nobody_in
 
 BACKLOG = 512
@@ -347,7 +347,7 @@
         self,
         listen: HostPort,
         settings: api.Settings,
-        post: Callable[[Arrival], None],
+        post: Callable[[Submission], None],
         counters: Counters,
         most: int,
     ) -> None:
@@ -370,7 +370,7 @@
         self._tenants = {
             tenant.name: i for i, tenant in enumerate(settings.tenants) if tenant.name in tenants
         }
-        self.come_again = come_again(settings)
+        self.come_again = rejection_retry_after(settings)
 
     def start(self) -> None:
         self._server.start()
@@ -435,7 +435,7 @@
                 return True
         return False
 
-    def arrival(self, request: http.Message, name: str, client: _Connection) -> Arrival:
+    def arrival(self, request: http.Message, name: str, client: _Connection) -> Submission:
         """The message that a request hands in, of the class that its path names."""
         if request.headers.get("x-priority-class", name) != name:
             raise _Malformed("X-Priority-Class: not the class that the path names")
@@ -451,7 +451,7 @@
             raise _Malformed("X-Tenant-Id: unknown")
         retried = request.headers.get("x-retried", "")
         left = min(_seconds(request), self._kinds[index].deadline)
-        return Arrival(
+        return Submission(
             client,
             id_,
             key,
--- a/irisstack/node/list_reader.py
+++ b/irisstack/node/list_reader.py
@@ -9,7 +9,7 @@
 
 from irisstack import interface as api
 from irisstack.node.config import host_port
-from irisstack.node.record_clock import RecordClock, resume
+from irisstack.node.record_clock import RecordClock, resume_clock
 
 STATES = {
     "SERVING": api.EndpointState.READY,
@@ -29,7 +29,7 @@
         self, settings: api.Settings, most_waiting: int = 0, clock: RecordClock | None = None
     ) -> None:
         """`clock` is what the list's Unix times are read by; by default the wall clock as it is now."""
-        self._clock = clock or resume(None)
+        self._clock = clock or resume_clock(None)
         self._kinds = {kind.name: i for i, kind in enumerate(settings.kinds)}
         self._most_waiting = most_waiting
         self._waiting: dict[str, Mapping[str, Any]] = {}  # lines of kinds not known yet, by id
--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -24,28 +24,30 @@
 class LiveSettings:
     """The settings in force beside the node's own file, which the stream's items are laid over."""
 
-    def __init__(self, base: Mapping[str, Any], peers: tuple[HostPort, ...], most_calls: int) -> None:
+    def __init__(self, base: Mapping[str, Any], peers: tuple[HostPort, ...], max_calls_limit: int) -> None:
         """`most_calls` is what the limits leave descriptors for; raises `SettingsError` for a bad file."""
         self._base = base
         self._peers = peers
         own = with_peers(read(Reader(base)), peers)
         # What the file itself asks for is the operators' own choice, as without these settings.
-        self._most_calls = max(own.max_calls, most_calls)
+        self._most_calls = max(own.max_calls, max_calls_limit)
         self._own = self._read(base)
         self.in_force = _accepted(self._own, self._own, {})
 
-    def restore(self, items: Mapping[str, Any], retired: Mapping[str, Any], owed: Collection[str]) -> None:
+    def restore(
+        self, items: Mapping[str, Any], retired: Mapping[str, Any], pending_classes: Collection[str]
+    ) -> None:
         """At the start: put in force what an earlier life saved, with what messages are owed under.
 
         `owed` names the classes of the messages that are owed. What else had gone is dropped. Items that no
         longer fit the node's file are left; what messages are owed under is still kept.
         """
         try:
-            self.in_force = self._restored(items, retired, owed)
+            self.in_force = self._restored(items, retired, pending_classes)
         except SettingsError as error:
             log.error("saved_settings_refused", error=str(error))
             lanes = {path: value for path, value in items.items() if path.startswith(f"{LANES}/")}
-            self.in_force = self._restored({}, self._usable({**lanes, **retired}), owed)
+            self.in_force = self._restored({}, self._usable({**lanes, **retired}), pending_classes)
 
     def check(self, items: Mapping[str, Any]) -> AcceptedSettings:
         """What the node would run by under these items; raises `SettingsError` if it cannot."""
@@ -56,7 +58,7 @@
             check_size(gone, "what went")  # it has to be saved; a restart drops what nothing needs
             return _accepted(merged, proposed, gone)
 
-    def checked(self, items: Mapping[str, Any]) -> AcceptedSettings | SettingsError:
+    def check_without_raising(self, items: Mapping[str, Any]) -> AcceptedSettings | SettingsError:
         """As `check`, with the error as a value: gevent logs one that leaves a thread as a fault."""
         try:
             return self.check(items)
--- a/irisstack/node/mailbox.py
+++ b/irisstack/node/mailbox.py
@@ -5,7 +5,7 @@
 from gevent.queue import Queue
 
 
-def enlarge(mailbox: "Queue[Any]", room: int) -> None:
+def enlarge(mailbox: "Queue[Any]", capacity: int) -> None:
     """Let a mailbox hold so many items. It never shrinks: what was under way before may still come."""
     # gevent's stubs leave out that it can be set.
-    mailbox.maxsize = max(mailbox.maxsize or 0, room)  # type: ignore[misc]
+    mailbox.maxsize = max(mailbox.maxsize or 0, capacity)  # type: ignore[misc]
--- a/irisstack/node/notices.py
+++ b/irisstack/node/notices.py
@@ -84,7 +84,7 @@
         for entry in batch:
             del self._pending[entry.number]
         self._counters.add("notices_taken", len(batch))
-        self._store.told([entry.number for entry in batch], self._store.clock.now())
+        self._store.mark_notified([entry.number for entry in batch], self._store.clock.now())
         return True
 
     def _post(self, body: bytes) -> int:
--- a/irisstack/node/record_clock.py
+++ b/irisstack/node/record_clock.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-LEAST_STEP = 0.25
+MIN_STEP = 0.25
 """Seconds by which the clocks part between two looks, at least, in a step: one that is slewed drifts."""
 
 
@@ -36,20 +36,20 @@
 
     def now(self) -> float:
         """The time of a record that is made now."""
-        return self.to_record(time.monotonic())
+        return self.to_record_time(time.monotonic())
 
-    def to_record(self, monotonic: float) -> float:
+    def to_record_time(self, monotonic: float) -> float:
         return monotonic + self.anchor.offset
 
     def to_monotonic(self, recorded: float) -> float:
         return recorded - self.anchor.offset
 
-    def note(self) -> dict[str, object]:
+    def anchor_record(self) -> dict[str, object]:
         """The anchor as a note for the folder."""
         return {"t": "clock", **asdict(self.anchor)}
 
 
-def resume(recorded: Anchor | None) -> RecordClock:
+def resume_clock(recorded: Anchor | None) -> RecordClock:
     """The clock of the lives before, unless the machine has booted since; else one that begins now.
 
     Where the system does not tell its boots, a monotonic clock that stands before the anchor shows one.
@@ -60,17 +60,17 @@
     return RecordClock(Anchor(boot, wall_clock() - monotonic, monotonic))
 
 
-class StepWatch:
+class StepDetector:
     """Notices steps of the wall clock, for the log: nothing is decided by them."""
 
     def __init__(self) -> None:
         self._offset = wall_clock() - time.monotonic()
 
-    def step(self) -> float | None:
+    def detect(self) -> float | None:
         """By how many seconds the wall clock was stepped since the last look, if it was."""
         offset = wall_clock() - time.monotonic()
         step, self._offset = offset - self._offset, offset
-        return step if abs(step) >= LEAST_STEP else None
+        return step if abs(step) >= MIN_STEP else None
 
 
 def wall_clock() -> float:
--- a/irisstack/node/records.py
+++ b/irisstack/node/records.py
@@ -6,23 +6,23 @@
 from collections.abc import Iterator
 from typing import Any
 
-HEAD = struct.Struct(">III")
+HEADER = struct.Struct(">III")
 
-Note = dict[str, Any]
+Fields = dict[str, Any]
 
 
-def encode(note: Note, body: bytes = b"") -> bytes:
+def encode(note: Fields, body: bytes = b"") -> bytes:
     """The bytes of one record."""
     text = json.dumps(note, separators=(",", ":")).encode()
-    return HEAD.pack(len(text), len(body), zlib.crc32(body, zlib.crc32(text))) + text + body
+    return HEADER.pack(len(text), len(body), zlib.crc32(body, zlib.crc32(text))) + text + body
 
 
-def decode(data: bytes) -> Iterator[tuple[Note, bytes]]:
+def decode(data: bytes) -> Iterator[tuple[Fields, bytes]]:
     """The records of a segment, up to the first that is torn. Zeros are torn too, though their sum fits."""
     at = 0
-    while at + HEAD.size <= len(data):
-        note_size, body_size, check = HEAD.unpack_from(data, at)
-        start = at + HEAD.size
+    while at + HEADER.size <= len(data):
+        note_size, body_size, check = HEADER.unpack_from(data, at)
+        start = at + HEADER.size
         middle, end = start + note_size, start + note_size + body_size
         if note_size == 0 or end > len(data) or zlib.crc32(data[start:end]) != check:
             return
--- a/irisstack/node/results.py
+++ b/irisstack/node/results.py
@@ -19,7 +19,7 @@
     ANSWERED = auto()
 
 
-class Ending(IntEnum):
+class EndReason(IntEnum):
     """Why an attempt ended without an answer."""
 
     BROKEN = auto()
@@ -34,7 +34,7 @@
 
     outcome: Outcome
     reached: Reached
-    over: bool = False
+    final: bool = False
     retry_after: float | None = None
     no_free_slot: bool = False
     report: tuple[float, ...] = ()
@@ -44,11 +44,11 @@
     """What broke an attempt that ended without an answer, as the system names it (`ECONNREFUSED`)."""
 
 
-DELIVERED = Result(Outcome.OK, Reached.ANSWERED, over=True)
-OUTCOME_OF_SENT = {
-    Ending.BROKEN: Outcome.RESET,
-    Ending.GIVEN_UP: Outcome.TIMEOUT,
-    Ending.CALLED_OFF: Outcome.CANCELLED,
+DELIVERED = Result(Outcome.OK, Reached.ANSWERED, final=True)
+OUTCOME_WITHOUT_ANSWER = {
+    EndReason.BROKEN: Outcome.RESET,
+    EndReason.GIVEN_UP: Outcome.TIMEOUT,
+    EndReason.CALLED_OFF: Outcome.CANCELLED,
 }
 """The outcome of an attempt that was sent in full and got no answer: it may have run."""
 OUTCOME_BY_WORD = {
@@ -61,16 +61,16 @@
 """Outcome and finality by the word for one message in the answer to a shared call."""
 
 
-def unanswered(reached: Reached, ending: Ending) -> Result:
+def unanswered_result(reached: Reached, ending: EndReason) -> Result:
     """The result of an attempt that ended without an answer."""
-    if ending is Ending.WITHHELD:
+    if ending is EndReason.WITHHELD:
         return Result(Outcome.NOT_SENT, reached)
     if reached < Reached.WRITTEN:
         return Result(Outcome.CONNECT_FAILED, reached)
-    return Result(OUTCOME_OF_SENT[ending], reached)
+    return Result(OUTCOME_WITHOUT_ANSWER[ending], reached)
 
 
-def name_of_error(error: Exception) -> str:
+def error_name(error: Exception) -> str:
     """The system's name of an error, or its type where it has none."""
     number = error.errno if isinstance(error, OSError) else None
     return type(error).__name__ if number is None else errno.errorcode.get(number, str(number))
@@ -100,7 +100,7 @@
     return tuple(values.get(name, 0.0) for name in fields)
 
 
-def answered(message: Message, fields: Sequence[str]) -> Result:
+def answer_result(message: Message, fields: Sequence[str]) -> Result:
     """The result that an answer gives to every message of its call."""
     wait = _positive_number(message.headers.get("retry-after"))
     report = _report(message, fields)
@@ -121,9 +121,9 @@
     return Result(outcome, Reached.ANSWERED, over, wait, busy, report, tuple(fields))
 
 
-def answered_each(message: Message, ids: Sequence[str], fields: Sequence[str]) -> dict[str, Result]:
+def batch_results(message: Message, ids: Sequence[str], fields: Sequence[str]) -> dict[str, Result]:
     """The result of each message of a shared call, by id; one that the answer does not name may have run."""
-    alike = answered(message, fields)
+    alike = answer_result(message, fields)
     if message.status in (400, 413):
         return dict.fromkeys(ids, Result(Outcome.NOT_SENT, Reached.ANSWERED))
     if message.status != 200:
@@ -135,5 +135,5 @@
     results = {}
     for id_ in ids:
         outcome, over = OUTCOME_BY_WORD.get(words.get(id_, ""), (Outcome.RESET, False))
-        results[id_] = replace(alike, outcome=outcome, over=over, no_free_slot=False)
+        results[id_] = replace(alike, outcome=outcome, final=over, no_free_slot=False)
     return results
--- a/irisstack/node/retry.py
+++ b/irisstack/node/retry.py
@@ -6,27 +6,27 @@
 
 import gevent
 
-Made = TypeVar("Made")
+ResultT = TypeVar("ResultT")
 
 
 def retry(
-    attempt: Callable[[float], Made],
-    passes: Callable[[OSError], bool],
-    seconds: float,
+    operation: Callable[[float], ResultT],
+    is_transient: Callable[[OSError], bool],
+    time_limit: float,
     first_pause: float,
-    longest_pause: float,
-) -> Made:
+    max_pause: float,
+) -> ResultT:
     """Call `attempt` with the seconds that are left until it succeeds.
 
     Raises its error if that does not pass by itself, or if the time would be over before the next attempt.
     The pauses between attempts double, up to the longest.
     """
-    end, pause = time.monotonic() + seconds, first_pause
+    end, pause = time.monotonic() + time_limit, first_pause
     while True:
         try:
-            return attempt(end - time.monotonic())
+            return operation(end - time.monotonic())
         except OSError as error:
-            if not passes(error) or time.monotonic() + pause >= end:
+            if not is_transient(error) or time.monotonic() + pause >= end:
                 raise
         gevent.sleep(pause)
-        pause = min(2.0 * pause, longest_pause)
+        pause = min(2.0 * pause, max_pause)
--- a/irisstack/node/segments.py
+++ b/irisstack/node/segments.py
@@ -12,7 +12,7 @@
 
 from irisstack.node import records
 
-UNIT = 512
+BLOCK_SIZE = 512
 """Files count in whole units of this size."""
 
 
@@ -23,62 +23,62 @@
         self._folder = folder
         self._file = -1  # of the newest segment, once it was opened
         self.sizes: dict[int, int] = {}
-        self.current = 0
-        self.head = b""
+        self.newest = 0
+        self.header = b""
         """What each new segment begins with."""
 
-    def read(self) -> Iterator[tuple[int, records.Note, bytes]]:
+    def read(self) -> Iterator[tuple[int, records.Fields, bytes]]:
         """All records, each with its segment's number; called once, before anything is written."""
         for path in sorted(self._folder.glob("[0-9]" * 10 + ".log")):
             segment = int(path.stem)
             data = path.read_bytes()
             self.sizes[segment] = len(data)
-            self.current = max(self.current, segment)
+            self.newest = max(self.newest, segment)
             for note, body in records.decode(data):
                 yield segment, note, body
 
     @property
-    def older(self) -> list[int]:
+    def older_segments(self) -> list[int]:
         """The segments before the newest, oldest first."""
         return sorted(self.sizes)[:-1]
 
     @property
     def newest_size(self) -> int:
         """Bytes in the newest segment."""
-        return self.sizes.get(self.current, 0)
+        return self.sizes.get(self.newest, 0)
 
     @property
-    def used(self) -> int:
+    def used_bytes(self) -> int:
         """Bytes of the folder in use."""
-        return sum(-(-size // UNIT) * UNIT for size in self.sizes.values())
+        return sum(-(-size // BLOCK_SIZE) * BLOCK_SIZE for size in self.sizes.values())
 
     def open_next(self) -> None:
         """Begin another segment; if that fails, the one before stays."""
-        number = self.current + 1
+        number = self.newest + 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         file = os.open(self._path(number), flags, 0o600)
         try:
-            _write_all(file, self.head)
+            _write_all(file, self.header)
         except OSError:
             os.close(file)
             with suppress(OSError):
                 self._path(number).unlink()
             raise
         self.close()
-        self._file, self.current = file, number
-        self.sizes[number] = len(self.head)
+        self._file, self.newest = file, number
+        self.sizes[number] = len(self.header)
 
     def append(self, data: bytes) -> None:
         """Append to the newest segment, or to another where that one cannot be appended to."""
         if self._file < 0:
             self.open_next()
-        size = self.sizes[self.current]
+        size = self.sizes[self.newest]
         try:
             _write_all(self._file, data)
         except OSError:
             self._cut(size)
             raise
-        self.sizes[self.current] = size + len(data)
+        self.sizes[self.newest] = size + len(data)
 
     def remove(self, segment: int) -> None:
         """Delete a segment."""
@@ -98,7 +98,7 @@
             os.ftruncate(self._file, size)
         except OSError:
             with suppress(OSError):
-                self.sizes[self.current] = os.fstat(self._file).st_size
+                self.sizes[self.newest] = os.fstat(self._file).st_size
             self.close()
 
     def _path(self, segment: int) -> Path:
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -34,13 +34,13 @@
     from irisstack.node.live_settings import LiveSettings
     from irisstack.node.settings_watch import SettingsWatch
 
-SEND_UNTIL = 2.2
+SHUTDOWN_SEND_PERIOD = 2.2
 """Seconds after SIGTERM in which calls still leave."""
-END_BY = 3.3
+SHUTDOWN_DEADLINE = 3.3
 """Seconds after SIGTERM at which the node ends, whatever is still out."""
-ACCEPT_FOR = 0.9
+SHUTDOWN_ACCEPT_PERIOD = 0.9
 """Seconds after SIGTERM in which clients may still come."""
-OWN_DESCRIPTORS = 48
+RESERVED_DESCRIPTORS = 48
 """Kept for the listening socket, clients in the doorway, the list, notices and the folder."""
 MOST_WAITING_LINES = 1024
 """Lines of the list that are kept until their kind is known, where kinds may come while the node runs."""
@@ -48,9 +48,9 @@
 """Seconds in which the folder has to be read at the start, and from a failure to the next try."""
 LISTEN_WITHIN = 10.0
 """Seconds in which the node's own sockets have to be had at the start, where the machine lacks something."""
-LOOK = 0.05
+SHUTDOWN_POLL_INTERVAL = 0.05
 """Seconds between two looks at what is left to end."""
-FOLLOWED = ("discovery", "known", "seed")
+NO_RESTART_NEEDED = ("discovery", "known", "seed")
 """What a running node follows when the file changes, or needs at its start alone; the rest waits."""
 
 log = structlog.get_logger()
@@ -91,17 +91,17 @@
             config.seed,
             self._store,
             self.counters,
-            call=self._to_endpoint,
-            ask=self._discovery.mailbox.put,
-            notice=self._notices.owe,
-            room=self._mailbox_room(settings),
-            tell=self._tell,
-            trial=config.trial,
-            settings_taken=None if self._live is None else self._take_settings,
+            send_command=self._to_endpoint,
+            request_endpoints=self._discovery.mailbox.put,
+            post_notice=self._notices.owe,
+            mailbox_capacity=self._mailbox_room(settings),
+            send_gossip=self._tell,
+            trial_settings=config.trial,
+            apply_settings=None if self._live is None else self._take_settings,
         )
         self._peers: Peers | None = None
         if config.peers:
-            peers = partial(Peers, config.listen, config.peers, self._decider.heard, self.counters)
+            peers = partial(Peers, config.listen, config.peers, self._decider.receive_gossip, self.counters)
             self._peers = sockets.persist(peers, LISTEN_WITHIN)
         self._intake = Intake(
             config.listen, settings, self._decider.mailbox.put, self.counters, self._most_clients
@@ -165,7 +165,7 @@
             waiting = [
                 field.name
                 for field in fields(Config)
-                if field.name not in FOLLOWED
+                if field.name not in NO_RESTART_NEEDED
                 and getattr(new, field.name) != getattr(self._config, field.name)
             ]
             log.info("configuration_taken", discovery=name_of(new.discovery), await_restart=waiting)
@@ -182,23 +182,23 @@
         The node ends once each client that came has its answer, no call is out and nothing is left to tell or
         to send; at `END_BY` whatever there is.
         """
-        log.info("stopping", calls_out=self._decider.calls_out)
-        self._decider.refusing = True
+        log.info("stopping", calls_out=self._decider.calls_in_flight)
+        self._decider.rejecting = True
         self._intake.drain()
-        while (passed := time.monotonic() - asked) < END_BY:
-            self._decider.holding = passed > SEND_UNTIL
-            owed = any(entry.owed for entry in self._store.entries.values())
+        while (passed := time.monotonic() - asked) < SHUTDOWN_DEADLINE:
+            self._decider.sends_stopped = passed > SHUTDOWN_SEND_PERIOD
+            owed = any(entry.pending for entry in self._store.entries.values())
             if (
                 self._intake.stage is Stage.CLOSED
                 and self._intake.empty
-                and not self._decider.calls_out
+                and not self._decider.calls_in_flight
                 and self._notices.idle
-                and (self._decider.holding or not owed)
+                and (self._decider.sends_stopped or not owed)
             ):
                 break
-            if passed > ACCEPT_FOR:
+            if passed > SHUTDOWN_ACCEPT_PERIOD:
                 self._intake.close()
-            gevent.sleep(LOOK)  # longer than it takes those just accepted to count as here
+            gevent.sleep(SHUTDOWN_POLL_INTERVAL)  # longer than it takes those just accepted to count as here
         self._intake.close()
         if self._peers is not None:
             self._peers.close()
@@ -269,7 +269,7 @@
         A third of the descriptors is for clients; of the rest, what calls and the node itself do not need is
         shared out among the endpoints.
         """
-        spare = self._config.sockets - self._most_clients - self._settings.max_calls - OWN_DESCRIPTORS
+        spare = self._config.sockets - self._most_clients - self._settings.max_calls - RESERVED_DESCRIPTORS
         return max(1, spare // max(1, len(self._listed_now)))
 
     def _mailbox_room(self, settings: api.Settings) -> int:
@@ -310,14 +310,14 @@
         from irisstack.node.settings_watch import SettingsWatch
 
         config = self._config
-        most_calls = config.sockets - self._most_clients - OWN_DESCRIPTORS
+        most_calls = config.sockets - self._most_clients - RESERVED_DESCRIPTORS
         try:
             self._live = LiveSettings(source.base, config.peers, most_calls)
         except SettingsError as error:
             raise ConfigError(f"settings: {error}") from None
         file = SnapshotFile(config.state)
         if (saved := file.load()) is not None:
-            owed = {entry.message_class for entry in self._store.entries.values() if entry.owed}
+            owed = {entry.message_class for entry in self._store.entries.values() if entry.pending}
             self._live.restore(saved.items, saved.retired, owed)
         self._settings_watch = SettingsWatch(
             source.members,
@@ -338,7 +338,7 @@
         its own, with which the interpreter shares out the time every few milliseconds.
         """
         assert self._live is not None
-        checked = gevent.get_hub().threadpool.apply(self._live.checked, (items,))
+        checked = gevent.get_hub().threadpool.apply(self._live.check_without_raising, (items,))
         if isinstance(checked, SettingsError):
             raise checked
         accepted: AcceptedSettings = checked
@@ -360,7 +360,7 @@
         """
         settings = self._settings = new.settings
         self._intake.offer(settings, new.classes, new.tenants)
-        self._decider.make_room(self._mailbox_room(settings))
+        self._decider.set_mailbox_capacity(self._mailbox_room(settings))
         update = self._reader.follow(settings)
         if update is not None:
             self._follow(update)
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -17,7 +17,7 @@
 from irisstack.node.config import Config, HostPort, name_of
 from irisstack.node.live_settings import LiveSettings
 from irisstack.node.member_call import CallError, MemberCall
-from irisstack.node.service import OWN_DESCRIPTORS
+from irisstack.node.service import RESERVED_DESCRIPTORS
 from irisstack.settings import SettingsError
 
 MAX_CHANGES = 127
@@ -124,7 +124,7 @@
     source = config.dynamic_settings
     if source is None:
         raise SettingsError("dynamic_settings: is due in the node's file")
-    most_calls = config.sockets - config.sockets // 3 - OWN_DESCRIPTORS
+    most_calls = config.sockets - config.sockets // 3 - RESERVED_DESCRIPTORS
     live = LiveSettings(source.base, config.peers, most_calls)
     if before is not None and not before.items.problem():
         live.in_force = live.check(before.items.values())
--- a/irisstack/node/sockets.py
+++ b/irisstack/node/sockets.py
@@ -9,7 +9,7 @@
 
 from irisstack.node.buffer import Buffer
 from irisstack.node.config import HostPort
-from irisstack.node.retry import Made, retry
+from irisstack.node.retry import ResultT, retry
 
 BROKEN = select.POLLHUP | select.POLLERR
 MIN_TIMEOUT = 0.001
@@ -46,7 +46,7 @@
         raise OwnMachineError(error.errno, error.strerror) from None
 
 
-def persist(make: Callable[[], Made], seconds: float) -> Made:
+def persist(make: Callable[[], ResultT], seconds: float) -> ResultT:
     """Do what needs descriptors or buffers, again and again for a time while this machine lacks them."""
     return retry(lambda _: make(), lambda error: error.errno in SCARCE, seconds, LONGEST_PAUSE, LONGEST_PAUSE)
 
--- a/irisstack/node/store.py
+++ b/irisstack/node/store.py
@@ -58,30 +58,30 @@
     segment: int = 0
 
     @property
-    def owed(self) -> bool:
+    def pending(self) -> bool:
         return not self.result
 
     @property
-    def to_tell(self) -> bool:
+    def notice_pending(self) -> bool:
         """Whether a notice is owed."""
         return self.result in ("dead", "bounced") and not self.told
 
     @property
-    def room(self) -> int:
+    def reserved_bytes(self) -> int:
         return len(self.body) + len(self.id) + len(self.key) + NOTE_ROOM
 
 
-NOTED = tuple(field.name for field in fields(Entry) if field.name not in ("body", "segment"))
+STORED_FIELDS = tuple(field.name for field in fields(Entry) if field.name not in ("body", "segment"))
 
 
 class Store:
     """Keeps the folder and, beside it, the entries in memory."""
 
-    def __init__(self, folder: Path, disk_bytes: int, now: float | None = None) -> None:
+    def __init__(self, directory: Path, disk_bytes: int, now: float | None = None) -> None:
         """`now` is the time on the clock of the records; by default what that clock says."""
         self._disk = disk_bytes
         self._segment_size = disk_bytes // SEGMENTS
-        self._log = SegmentLog(folder)
+        self._log = SegmentLog(directory)
         self._unwritten: list[bytes] = []  # records of what has happened, oldest first
         self._failed_since: float | None = None  # since when the folder cannot be written
         self._retry_at = 0.0
@@ -94,14 +94,14 @@
         self._anchor: record_clock.Anchor | None = None
         for segment, note, body in self._log.read():
             self._replay(note, body, segment)
-        self.clock = record_clock.resume(self._anchor)
-        self._log.head = records.encode(self.clock.note())
+        self.clock = record_clock.resume_clock(self._anchor)
+        self._log.header = records.encode(self.clock.anchor_record())
         if now is None:
             now = self.clock.now()
         # The process ended with these calls out: they may have run. That goes on record before anything else:
         # a later attempt, in this life or the next, must not stand for the first.
         out = [entry for entry in self.entries.values() if entry.out_at is not None]
-        ends = [self.end(entry.number, entry.attempts - 1, ran=True) for entry in out]
+        ends = [self.end_attempt(entry.number, entry.attempts - 1, ran=True) for entry in out]
         self._begin(now)
         self.write(ends, now)
 
@@ -115,7 +115,7 @@
 
     # ---- reading ----
 
-    def _replay(self, note: records.Note, body: bytes, segment: int) -> None:
+    def _replay(self, note: records.Fields, body: bytes, segment: int) -> None:
         match note.pop("t"):
             case "clock":
                 self._anchor = record_clock.Anchor(**note)
@@ -123,12 +123,12 @@
                 entry = Entry(**note, body=body, segment=segment)
                 known = self.entries.get(entry.number)
                 if known is not None:
-                    self._room -= known.room
+                    self._room -= known.reserved_bytes
                 self.entries[entry.number] = entry
                 self.by_id[entry.id] = entry.number
-                self._room += entry.room
+                self._room += entry.reserved_bytes
                 self.next_number = max(self.next_number, entry.number + 1)
-                if not entry.owed:
+                if not entry.pending:
                     heappush(self._ended, (entry.due, entry.number))
             case "out":
                 for number, attempt in note["n"]:
@@ -159,9 +159,9 @@
         entry.out_at, entry.out_in = None, ""
 
     def _over(self, entry: Entry, result: str, wait_ms: int) -> None:
-        self._room -= entry.room
+        self._room -= entry.reserved_bytes
         entry.result, entry.wait_ms, entry.body = result, wait_ms, b""
-        self._room += entry.room
+        self._room += entry.reserved_bytes
         heappush(self._ended, (entry.due, entry.number))
 
     def _told(self, entry: Entry) -> None:
@@ -175,40 +175,40 @@
 
         Those that are over are kept, so as to know them again, as long as nobody needs their room.
         """
-        most = self._disk - SPARE * self._segment_size - entry.room
+        most = self._disk - SPARE * self._segment_size - entry.reserved_bytes
         if self._room > most:
-            self.drop_ended(now)
+            self.drop_expired(now)
         while self._room > most and self._ended:
             self._drop_first()
         return self._room <= most
 
-    def take(self, entry: Entry) -> None:
+    def add(self, entry: Entry) -> None:
         """A message comes in; it is on record once what `taken` returns is written."""
         self.entries[entry.number] = entry
         self.by_id[entry.id] = entry.number
-        self._room += entry.room
+        self._room += entry.reserved_bytes
 
-    def taken(self, number: int) -> bytes:
+    def accepted_record(self, number: int) -> bytes:
         """The record of a message that was taken on, as it stands now."""
         entry = self.entries[number]
-        entry.segment = self._log.current
+        entry.segment = self._log.newest
         return self._taken(entry)
 
-    def refuse(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """A message that was not taken on after all leaves no trace."""
         self._forget(self.entries[number])
 
-    def end(self, number: int, attempt: int, ran: bool) -> bytes:
+    def end_attempt(self, number: int, attempt: int, ran: bool) -> bytes:
         """An attempt has ended; returns the record to write."""
         self._end(self.entries[number], attempt, ran)
         return records.encode({"t": "end", "n": number, "a": attempt, "ran": ran})
 
-    def over(self, number: int, result: str, wait_ms: int = 0) -> bytes:
+    def finish(self, number: int, result: str, wait_ms: int = 0) -> bytes:
         """A message is over; returns the record to write."""
         self._over(self.entries[number], result, wait_ms)
         return records.encode({"t": "over", "n": number, "result": result, "wait_ms": wait_ms})
 
-    def out(self, attempts: Iterable[tuple[int, int]], at: float, zone: str = "") -> bool:
+    def record_send(self, attempts: Iterable[tuple[int, int]], at: float, zone: str = "") -> bool:
         """A call is about to leave for a zone with these messages; returns whether that is on record."""
         numbers = [(number, attempt) for number, attempt in attempts if number in self.entries]
         if not self._append_all([records.encode({"t": "out", "n": numbers, "at": at, "in": zone})], at):
@@ -217,27 +217,27 @@
             self._out(self.entries[number], attempt, at, zone)
         return True
 
-    def admit(self, numbers: Collection[int], now: float) -> bool:
+    def record_accepted(self, numbers: Collection[int], now: float) -> bool:
         """Put messages that came in on record; returns whether they are, else they must be refused.
 
         A failed write may have left the record of one that is refused: the next one takes it back.
         """
-        if not self.may_try:
+        if not self.may_write:
             return False
-        if self._append_all([self.taken(number) for number in numbers], now):
+        if self._append_all([self.accepted_record(number) for number in numbers], now):
             return True
         withdrawn = {"t": "over", "result": "withdrawn", "wait_ms": 0}
         self._unwritten += [records.encode({**withdrawn, "n": number}) for number in numbers]
         return False
 
-    def told(self, numbers: Iterable[int], now: float) -> None:
+    def mark_notified(self, numbers: Iterable[int], now: float) -> None:
         """The platform has taken these notices."""
         known = [number for number in numbers if number in self.entries]
         for number in known:
             self._told(self.entries[number])
         self.write([records.encode({"t": "told", "n": known})], now)
 
-    def drop_ended(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget messages that are over, once their time is up and their notice was taken."""
         while self._ended and self._ended[0][0] < now:
             self._drop_first()
@@ -245,15 +245,15 @@
     def _drop_first(self) -> None:
         """Forget the message whose time is up first; one whose notice is owed comes back when it is told."""
         entry = self.entries.get(heappop(self._ended)[1])
-        if entry is not None and not entry.to_tell:
+        if entry is not None and not entry.notice_pending:
             self._forget(entry)
 
     def write(self, encoded: list[bytes], now: float) -> bool:
         """Append records of what has happened; returns whether they are written, else they will be."""
-        self.note(encoded)
+        self.enqueue(encoded)
         return self._append_all([], now)
 
-    def note(self, encoded: list[bytes]) -> None:
+    def enqueue(self, encoded: list[bytes]) -> None:
         """Records of what has happened, to be written before the next that need not wait."""
         self._unwritten += encoded
 
@@ -267,7 +267,7 @@
         return self._failed_since is not None
 
     @property
-    def may_try(self) -> bool:
+    def may_write(self) -> bool:
         """Whether a write is worth a try: the folder does not fail, or some time has passed since it did."""
         return not self.failing or time.monotonic() >= self._retry_at
 
@@ -278,19 +278,21 @@
 
     @staticmethod
     def _taken(entry: Entry) -> bytes:
-        return records.encode({"t": "taken", **{name: getattr(entry, name) for name in NOTED}}, entry.body)
+        return records.encode(
+            {"t": "taken", **{name: getattr(entry, name) for name in STORED_FIELDS}}, entry.body
+        )
 
     def _append_all(self, encoded: list[bytes], now: float) -> bool:
         """Append what is left unwritten and then these; returns whether all of it is written.
 
         After a failure a part may be written once more. That does no harm: no call leaves in between.
         """
-        if not self.may_try:
+        if not self.may_write:
             return False
         pending = [*self._unwritten, *encoded]
         try:
             # With nothing to write, one that is known already shows whether the folder can be written again.
-            self._append_some(pending or ([self._log.head] if self.failing else []), now)
+            self._append_some(pending or ([self._log.header] if self.failing else []), now)
         except OSError as error:
             self._failed(error)
             return False
@@ -328,20 +330,20 @@
 
     def _make_room(self, now: float) -> None:
         """Drop what is no longer needed, then free the oldest segments while too few are free."""
-        self.drop_ended(now)
-        for segment in self._log.older:
-            if self._log.used + FREE * self._segment_size <= self._disk:
+        self.drop_expired(now)
+        for segment in self._log.older_segments:
+            if self._log.used_bytes + FREE * self._segment_size <= self._disk:
                 break
             for entry in [e for e in self.entries.values() if e.segment == segment]:
                 data = self._taken(entry)
                 if self._log.newest_size + len(data) > self._segment_size:
                     self._log.open_next()
                 self._log.append(data)
-                entry.segment = self._log.current
+                entry.segment = self._log.newest
             self._log.remove(segment)
 
     def _forget(self, entry: Entry) -> None:
         del self.entries[entry.number]
         if self.by_id.get(entry.id) == entry.number:
             del self.by_id[entry.id]
-        self._room -= entry.room
+        self._room -= entry.reserved_bytes
--- a/tests/lab/capacity/test_sighup.py
+++ b/tests/lab/capacity/test_sighup.py
@@ -31,7 +31,7 @@
 
 
 def test_every_other_key_waits_for_a_restart() -> None:
-    waiting = {field.name for field in fields(Config)} - set(service.FOLLOWED)
+    waiting = {field.name for field in fields(Config)} - set(service.NO_RESTART_NEEDED)
     assert waiting == {
         "settings",
         "dynamic_settings",
--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -7,29 +7,29 @@
 import gevent
 from gevent import socket
 
-PATIENCE = 20.0
+TIMEOUT = 20.0
 """Seconds after which a test has failed; nothing else hangs on it."""
 
 
-def until(condition: Callable[[], Any], what: str = "the condition") -> Any:
+def wait_until(condition: Callable[[], Any], what: str = "the condition") -> Any:
     """Let the others run until something holds."""
-    with gevent.Timeout(PATIENCE, AssertionError(f"{what} did not come about")):
+    with gevent.Timeout(TIMEOUT, AssertionError(f"{what} did not come about")):
         while not (found := condition()):
             gevent.sleep(0.005)
     return found
 
 
-def listening() -> socket.socket:
+def listening_socket() -> socket.socket:
     server = socket.socket()
     server.bind(("127.0.0.1", 0))
     server.listen()
     return server
 
 
-def rest_of(client: socket.socket) -> bytes:
+def read_to_end(client: socket.socket) -> bytes:
     """All that a connection still brings, to its end or its reset."""
     data = b""
-    with gevent.Timeout(PATIENCE, AssertionError(f"no end after {data!r}")), suppress(ConnectionResetError):
+    with gevent.Timeout(TIMEOUT, AssertionError(f"no end after {data!r}")), suppress(ConnectionResetError):
         while more := client.recv(65536):
             data += more
     return data
--- a/tests/node/test_list_clock.py
+++ b/tests/node/test_list_clock.py
@@ -17,7 +17,7 @@
 from irisstack.node.list_call import COMING_LATE, SILENCE, WORD_LATE
 from irisstack.node.list_reader import ListReader
 from irisstack.settings import Reader, read
-from tests.node.support import listening, until
+from tests.node.support import listening_socket, wait_until
 from tests.node_support import SETTINGS
 from tests.support import Driver, endpoint
 
@@ -53,7 +53,7 @@
     post: Callable[[api.EndpointsUpdated], None], pushed: bool = False
 ) -> Iterator[tuple[Discovery, socket.socket]]:
     """What follows the list, and where it looks for it."""
-    with listening() as server:
+    with listening_socket() as server:
         part = Discovery(server.getsockname(), ListReader(read(Reader(SETTINGS))), post, 4, pushed)
         worker = gevent.spawn(part.run)
         yield part, server
@@ -102,7 +102,7 @@
         with connection:
             connection.sendall(at_once)
             feeding = gevent.spawn(trickle, connection, then)
-            failed = until(lambda: told and told[-1].scope is api.UpdateScope.FAILED and told[-1])
+            failed = wait_until(lambda: told and told[-1].scope is api.UpdateScope.FAILED and told[-1])
             feeding.kill()
         assert failed.unheard >= list_call.SILENCE
         part.mailbox.put(api.Subscribe(True) if watch else api.FetchEndpoints())
@@ -121,7 +121,7 @@
                 gevent.sleep(0.1)
                 connection.sendall(chunk("\n"))
             connection.sendall(chunk(document(9)))
-            until(lambda: told)
+            wait_until(lambda: told)
     assert told[0].version == 9
 
 
@@ -133,7 +133,7 @@
     told: list[api.EndpointsUpdated] = []
     with follower(told.append) as (part, _):
         part.mailbox.put(api.Subscribe(True))
-        until(lambda: told)
+        wait_until(lambda: told)
     assert told[0].unheard == 0.0
 
 
@@ -144,7 +144,7 @@
     told: list[api.EndpointsUpdated] = []
     with follower(told.append) as (part, _):
         part.mailbox.put(api.Subscribe(True))
-        until(lambda: told)
+        wait_until(lambda: told)
     assert told[0].unheard == 0.0
     assert told[0].list_age >= list_call.ANSWER_LATE
 
@@ -162,7 +162,7 @@
                 size = random.randint(1, 150)
                 connection.sendall(chunk(text[:size]))
                 text = text[size:]
-            until(lambda: len(told) == 7)
+            wait_until(lambda: len(told) == 7)
     assert [(update.version, len(update.endpoints)) for update in told] == [(r, 2) for r in range(5, 12)]
 
 
@@ -173,7 +173,7 @@
         connection, _ = accept(server)
         with connection:
             connection.sendall(HEAD + chunk(document(9)) + b"0\r\n\r\n")
-            until(lambda: len(told) == 2)
+            wait_until(lambda: len(told) == 2)
     assert [(update.scope, update.version) for update in told] == [
         (api.UpdateScope.FULL, 9),
         (api.UpdateScope.FAILED, 9),
@@ -197,7 +197,7 @@
         connection.sendall(HEAD + chunk(document(9)))
         assert reading.wait(20.0)
         part.mailbox.put(api.Subscribe(False))
-        until(lambda: not part._watches)
+        wait_until(lambda: not part._watches)
         way.set()
         part.mailbox.put(api.Subscribe(True))
         again, request = accept(server)
@@ -209,18 +209,18 @@
 def test_a_watch_at_a_new_address_is_not_ended_by_what_was_due_at_the_old_one() -> None:
     """Its place was lost, and the module meant to ask again, when the file named another address."""
     told: list[api.EndpointsUpdated] = []
-    with follower(told.append) as (part, server), listening() as elsewhere:
+    with follower(told.append) as (part, server), listening_socket() as elsewhere:
         part.mailbox.put(api.Subscribe(True))
         accept(server)[0].close()
-        until(lambda: told)
+        wait_until(lambda: told)
         part.mailbox.put(Moved(elsewhere.getsockname()))
         connection, request = accept(elsewhere)
         assert b"from=0 " in request
         part.mailbox.put(api.Subscribe(True))
         connection.sendall(HEAD + chunk(document(2)))
-        until(lambda: told[-1].version == 2)
+        wait_until(lambda: told[-1].version == 2)
         part.mailbox.put(api.Subscribe(True))
-        until(part.mailbox.empty)
+        wait_until(part.mailbox.empty)
         gevent.sleep(0.05)  # a watch held anew would have dialled
         elsewhere.settimeout(0.0)
         with pytest.raises(BlockingIOError):
@@ -267,7 +267,7 @@
         connection, _ = accept(server)
         with connection:
             connection.sendall(HEAD + chunk(json.dumps(said) + "\n") + chunk(document(7)))
-            until(lambda: told and (told[-1].version == 7 or good_for is None))
+            wait_until(lambda: told and (told[-1].version == 7 or good_for is None))
         first, known = told[0], part._revision
     if good_for is None:  # said once, and asked for again from what is known
         assert (first.scope, known) == (api.UpdateScope.FAILED, 4)
--- a/tests/node/test_notices.py
+++ b/tests/node/test_notices.py
@@ -11,8 +11,8 @@
 from irisstack.node.counters import Counters
 from irisstack.node.notices import Notices
 from irisstack.node.store import Store
-from tests.node.support import listening, until
-from tests.test_node_parts import take
+from tests.node.support import listening_socket, wait_until
+from tests.test_node_parts import add_message
 
 NOTICE_DUE_S = 0.35
 """Seconds after a message's time in which its notice has to come."""
@@ -32,9 +32,9 @@
 ) -> None:
     monkeypatch.setattr(notices, "REQUEST_TIMEOUT", 0.3)
     store = Store(tmp_path, 3_000_000, 1000.0)
-    take(store, 1)
-    store.write([store.over(1, "dead")], 1000.0)
-    with listening() as server:
+    add_message(store, 1)
+    store.write([store.finish(1, "dead")], 1000.0)
+    with listening_socket() as server:
         part = Notices(server.getsockname(), store, Counters())
         worker = gevent.spawn(part.run)
         part.owe(store.entries[1])
@@ -52,7 +52,7 @@
             second, _ = server.accept()
             assert b'{"ref": "m1", "result": "dead"}' in second.recv(65536)
             second.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-            until(lambda: part.idle)
+            wait_until(lambda: part.idle)
         feeding.kill()
         worker.kill()
         for each in (first, second):
@@ -64,16 +64,16 @@
     """A notice is due 0.3 s after its message's time, and the connection was kept from the notice before."""
     store = Store(tmp_path, 3_000_000, 1000.0)
     for number in (1, 2):
-        take(store, number)
-        store.write([store.over(number, "dead")], 1000.0)
-    with listening() as server:
+        add_message(store, number)
+        store.write([store.finish(number, "dead")], 1000.0)
+    with listening_socket() as server:
         part = Notices(server.getsockname(), store, Counters())
         worker = gevent.spawn(part.run)
         part.owe(store.entries[1])
         first, _ = server.accept()
         assert first.recv(65536)
         first.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-        until(lambda: part.idle)
+        wait_until(lambda: part.idle)
         owed_at = time.monotonic()
         part.owe(store.entries[2])
         with gevent.Timeout(20.0, AssertionError("not told anew")):
@@ -89,9 +89,9 @@
 def test_requests_that_are_refused_leave_a_silent_one_as_little_time_as_before(tmp_path: Path) -> None:
     """A platform that is away for a while refuses at once; that says nothing of how long answers take."""
     store = Store(tmp_path, 3_000_000, 1000.0)
-    take(store, 1)
-    store.write([store.over(1, "dead")], 1000.0)
-    with listening() as server:
+    add_message(store, 1)
+    store.write([store.finish(1, "dead")], 1000.0)
+    with listening_socket() as server:
         part = Notices(server.getsockname(), store, Counters())
         worker = gevent.spawn(part.run)
         part.owe(store.entries[1])
--- a/tests/node/test_record_clock.py
+++ b/tests/node/test_record_clock.py
@@ -6,7 +6,7 @@
 import pytest
 
 from irisstack.node import record_clock, records
-from irisstack.node.record_clock import Anchor, resume
+from irisstack.node.record_clock import Anchor, resume_clock
 from irisstack.node.store import Store
 
 
@@ -48,10 +48,10 @@
 
 def test_a_boot_that_nobody_names_shows_by_a_monotonic_clock_that_stands_before_the_anchor() -> None:
     later = time.monotonic() + 1000.0
-    assert resume(Anchor("", 5.0, 0.0)).anchor.boot
-    boot = resume(None).anchor.boot
-    assert resume(Anchor(boot, 5.0, 0.0)).anchor.offset == 5.0
-    assert resume(Anchor(boot, 5.0, later)).anchor.offset != 5.0
+    assert resume_clock(Anchor("", 5.0, 0.0)).anchor.boot
+    boot = resume_clock(None).anchor.boot
+    assert resume_clock(Anchor(boot, 5.0, 0.0)).anchor.offset == 5.0
+    assert resume_clock(Anchor(boot, 5.0, later)).anchor.offset != 5.0
 
 
 def test_a_folder_of_an_earlier_release_is_read_by_the_wall_clock(
--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -19,10 +19,10 @@
 from irisstack.node.results import Reached
 from irisstack.node.store import Store
 from irisstack.settings import Reader, read
-from tests.node.support import listening, until
+from tests.node.support import listening_socket, wait_until
 from tests.node_support import SETTINGS, raw
 from tests.support import CLASSES, KEYED, KEYED_INDEX, UNSAFE_INDEX, Driver, endpoint
-from tests.test_node_parts import entry, take
+from tests.test_node_parts import add_message, make_entry
 
 FOREVER = 1e9
 
@@ -62,21 +62,21 @@
     """It is held back, or broken off while a part of it is missing: neither can have run."""
     ended: list[Ended] = []
     store = Store(tmp_path, 3_000_000, 1000.0)
-    take(store, 1)
+    add_message(store, 1)
     leave_by = time.monotonic() + (-0.1 if late == "in the mailbox" else 0.3)
     if late == "on the way up":
         connect = sockets.connect
 
         def slowly(*given: Any) -> socket.socket:
-            until(lambda: time.monotonic() > leave_by)
+            wait_until(lambda: time.monotonic() > leave_by)
             return connect(*given)
 
         monkeypatch.setattr(sockets, "connect", slowly)
-    with listening() as server:
+    with listening_socket() as server:
         part = actor(server, ended, store)
         body = bytes(50_000_000 if late == "in the writing" else 5)  # far more than the system holds
         part.mailbox.put(Call([Outgoing(1, 1, "m1", "k", body, FOREVER, FOREVER, leave_by)], 1001.0))
-        until(lambda: ended)
+        wait_until(lambda: ended)
         part.worker.kill()
         connection, _ = server.accept()
         with connection:
@@ -102,8 +102,8 @@
     """Whether a call does not leave that is told this, or whose window ends, 0.1 s after its decision."""
     ended: list[Ended] = []
     store = Store(folder, 3_000_000, 1000.0)
-    take(store, 1)
-    with listening() as server:
+    add_message(store, 1)
+    with listening_socket() as server:
         part = actor(server, ended, store)
         if told is not None:
             gevent.spawn(tell_later, part, told)
@@ -111,7 +111,7 @@
         part.mailbox.put(Call([Outgoing(1, 1, "m1", "k", b"", FOREVER, FOREVER, leave_by)], 1001.0))
         connection, _ = server.accept()
         with connection:
-            until(lambda: ended or not sockets.quiet(connection))
+            wait_until(lambda: ended or not sockets.quiet(connection))
         part.worker.kill()
     return bool(ended) and ended[0].result.outcome is Outcome.NOT_SENT
 
@@ -120,13 +120,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The whole node stands still while it writes; what it was told meanwhile it reads only then."""
-    on_record = Store.out
+    on_record = Store.record_send
 
     def slowly(*given: Any) -> bool:
         time.sleep(0.3)
         return on_record(*given)
 
-    monkeypatch.setattr(Store, "out", slowly)
+    monkeypatch.setattr(Store, "record_send", slowly)
     left: list[str] = []
     for number, told in enumerate((Retire(), Hold(FOREVER), None)):
         folder = tmp_path / str(number)
@@ -171,7 +171,7 @@
 
     monkeypatch.setattr(sockets, "connect", never)
     ended: list[Ended] = []
-    with listening() as server:
+    with listening_socket() as server:
         part = actor(server, ended, Store(tmp_path, 3_000_000, 1000.0), connect_timeout=50.0)
         due = time.monotonic() + 5.0
         part.mailbox.put(
@@ -180,7 +180,7 @@
                 1001.0,
             )
         )
-        until(lambda: len(ended) == 2)
+        wait_until(lambda: len(ended) == 2)
         part.worker.kill()
     assert all(0.0 < seconds <= 5.0 for seconds in given)
     assert {end.result.outcome for end in ended} == {Outcome.CONNECT_FAILED}
@@ -208,13 +208,13 @@
     tmp_path: Path, crossing: Callable[[socket.socket], object]
 ) -> None:
     ended: list[Ended] = []
-    with listening() as server:
+    with listening_socket() as server:
         part = actor(server, ended, Store(tmp_path, 3_000_000, 1000.0))
         part.mailbox.put(Call([Outgoing(1, 0, "m1", "", b"", FOREVER, FOREVER)], 1001.0))
         first, _ = server.accept()
         assert b"m1" in first.recv(65536)
         first.sendall(raw(200))
-        until(lambda: part._idle)
+        wait_until(lambda: part._idle)
         choose = part._connection
 
         def chosen() -> Any:
@@ -229,7 +229,7 @@
         assert b"m2" in second.recv(65536)
         assert len(ended) == 1
         second.sendall(raw(500))
-        until(lambda: len(ended) == 2)
+        wait_until(lambda: len(ended) == 2)
         part.worker.kill()
         for each in (first, second):
             each.close()
@@ -252,14 +252,14 @@
 )
 def test_an_answer_cut_or_spoilt_anywhere_leaves_open_whether_it_ran(tmp_path: Path, spoilt: bytes) -> None:
     ended: list[Ended] = []
-    with listening() as server:
+    with listening_socket() as server:
         part = actor(server, ended, Store(tmp_path, 3_000_000, 1000.0))
         part.mailbox.put(Call([Outgoing(1, 0, "m1", "", b"", FOREVER, FOREVER)], 1001.0))
         connection, _ = server.accept()
         with connection:
             connection.recv(65536)
             connection.sendall(spoilt)
-        until(lambda: ended)
+        wait_until(lambda: ended)
         part.worker.kill()
     assert (ended[0].result.outcome, ended[0].result.reached) == (Outcome.RESET, Reached.WRITTEN)
 
@@ -269,14 +269,14 @@
     tmp_path: Path, more: bytes
 ) -> None:
     ended: list[Ended] = []
-    with listening() as server:
+    with listening_socket() as server:
         part = actor(server, ended, Store(tmp_path, 3_000_000, 1000.0))
         part.mailbox.put(Call([Outgoing(1, 0, "m1", "", b"", FOREVER, FOREVER)], 1001.0))
         connection, _ = server.accept()
         with connection:
             connection.recv(65536)
             connection.sendall(raw(200) + more)
-            until(lambda: ended and not part._calls)
+            wait_until(lambda: ended and not part._calls)
         part.worker.kill()
     assert ended[0].result.outcome is Outcome.OK
     assert not part._idle
@@ -291,24 +291,24 @@
     tmp_path: Path, ended: bool | None, zone: str, known_as: int | None
 ) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
-    take(store, 1)
-    store.out([(1, 0)], 1001.0, "where it never ran")
-    store.write([store.end(1, 0, False)], 1001.0)
-    store.out([(1, 1)], 1002.0, zone)
+    add_message(store, 1)
+    store.record_send([(1, 0)], 1001.0, "where it never ran")
+    store.write([store.end_attempt(1, 0, False)], 1001.0)
+    store.record_send([(1, 1)], 1002.0, zone)
     if ended is not None:
-        store.write([store.end(1, 1, ended)], 1003.0)
-        store.out([(1, 2)], 1004.0, "later")
-        store.write([store.end(1, 2, ended)], 1005.0)
+        store.write([store.end_attempt(1, 1, ended)], 1003.0)
+        store.record_send([(1, 2)], 1004.0, "later")
+        store.write([store.end_attempt(1, 2, ended)], 1005.0)
     again = Store(tmp_path, 3_000_000, 1006.0)
     decider = Decider(
         read(Reader(SETTINGS)),
         1,
         again,
         Counters(),
-        call=lambda *_: None,
-        ask=lambda _: None,
-        notice=lambda _: None,
-        room=10,
+        send_command=lambda *_: None,
+        request_endpoints=lambda _: None,
+        post_notice=lambda _: None,
+        mailbox_capacity=10,
     )
     told = decider._received(again.entries[1])
     if ended is False:
@@ -321,13 +321,13 @@
 def test_a_third_life_knows_what_was_out_when_the_first_ended(tmp_path: Path, second: str) -> None:
     """Else the window began anew with each life, and a keyed message went again outside it."""
     first = Store(tmp_path, 3_000_000, 1000.0)
-    take(first, 1)
-    first.out([(1, 0)], 1001.0, "z")
+    add_message(first, 1)
+    first.record_send([(1, 0)], 1001.0, "z")
     life = Store(tmp_path, 3_000_000, 1002.0)
     if second in ("out", "ended"):
-        life.out([(1, 1)], 1003.0, "elsewhere")
+        life.record_send([(1, 1)], 1003.0, "elsewhere")
     if second in ("withheld", "ended"):
-        life.write([life.end(1, 1, ran=False)], 1004.0)
+        life.write([life.end_attempt(1, 1, ran=False)], 1004.0)
     third = Store(tmp_path, 3_000_000, 1005.0).entries[1]
     assert (third.ran_at, third.ran_in, third.out_at) == (1001.0, "z", None)
     assert third.attempts == 1 + (second != "untried")
@@ -340,10 +340,10 @@
     path = next(tmp_path.glob("*.log"))
     random = Random(seed)
     for number in range(1, 8):
-        taken = entry(number, 5000.0)
+        taken = make_entry(number, 5000.0)
         taken.body = random.randbytes(random.randint(0, 300))
-        store.take(taken)
-        store.write([store.taken(number)], 1000.0)
+        store.add(taken)
+        store.write([store.accepted_record(number)], 1000.0)
         sizes.append(path.stat().st_size)
     data = path.read_bytes()
     for cut in range(len(data) + 1):
--- a/tests/node/test_settings_parts.py
+++ b/tests/node/test_settings_parts.py
@@ -23,7 +23,7 @@
 from irisstack.node.results import Reached, Result
 from irisstack.node.store import Store
 from irisstack.settings import Reader, SettingsError, read
-from tests.node.support import listening, until
+from tests.node.support import listening_socket, wait_until
 from tests.node_support import SETTINGS, raw
 
 OWN = read(Reader(SETTINGS))
@@ -255,7 +255,7 @@
 
 
 def test_an_endpoint_goes_by_other_terms_from_the_next_call_on(tmp_path: Path) -> None:
-    server = listening()
+    server = listening_socket()
     ended: list[Ended] = []
     part = Endpoint(
         (bytes([127, 0, 0, 1]), 1),
@@ -277,7 +277,7 @@
     def call(number: int) -> Result:
         until_then = clock() + 1e9
         part.mailbox.put(Call([Outgoing(number, 0, f"m{number}", "", b"", until_then, until_then)], 0.0))
-        until(lambda: len(ended) == number, "an end")
+        wait_until(lambda: len(ended) == number, "an end")
         result: Result = ended[-1].result
         return result
 
@@ -301,7 +301,7 @@
     assert part.mailbox.maxsize is not None
     assert part.mailbox.maxsize > room
     part.mailbox.put(ChangeTerms(5.0, 60.0, 0, 2, ()))
-    until(lambda: not part._idle, "an idle connection to be closed")
+    wait_until(lambda: not part._idle, "an idle connection to be closed")
     assert part.mailbox.maxsize > room, "what was under way may still come"
     part.worker.kill()
     server_part.kill()
@@ -317,11 +317,11 @@
         1,
         Store(folder, 3_000_000, 1000.0),
         Counters(),
-        call=lambda *_: None,
-        ask=lambda _: None,
-        notice=lambda _: None,
-        room=10,
-        settings_taken=settings_taken,
+        send_command=lambda *_: None,
+        request_endpoints=lambda _: None,
+        post_notice=lambda _: None,
+        mailbox_capacity=10,
+        apply_settings=settings_taken,
     )
 
 
@@ -349,7 +349,7 @@
     address = (bytes([10, 0, 0, 1]), 7070)
 
     def ended(number: int, fields: tuple[str, ...]) -> Ended:
-        part._where[number] = address, 0.0
+        part._in_flight[number] = address, 0.0
         result = Result(api.Outcome.OK, Reached.ANSWERED, report=(0.5, 7.0), report_fields=fields)
         return Ended(number, 0, address, result)
 
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -28,7 +28,7 @@
 from irisstack.node.counters import Counters
 from irisstack.node.settings_watch import SettingsWatch
 from irisstack.settings import SettingsError
-from tests.node.support import listening, until
+from tests.node.support import listening_socket, wait_until
 
 PREFIX = "/irisstack/settings/"
 
@@ -63,7 +63,7 @@
         return self.in_force[-1][1] if self.in_force else {}
 
     def wait_for(self, **items: Any) -> None:
-        until(lambda: self.document == items, f"{items} in force, not {self.document}")
+        wait_until(lambda: self.document == items, f"{items} in force, not {self.document}")
 
 
 @contextmanager
@@ -125,7 +125,7 @@
             node.wait_for(a=1)
             revision = put(server, a=2, b=3)
             node.wait_for(a=2, b=3)
-            until(lambda: node.counters.snapshot()["settings_revision"] == revision)
+            wait_until(lambda: node.counters.snapshot()["settings_revision"] == revision)
     saved = SnapshotFile(tmp_path).load()
     expected = {"a": 2, "b": 3}
     retired = {"lanes/gone": {"name": "gone"}}
@@ -138,7 +138,7 @@
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
             bad = put(server, a=2, bad=True)
-            until(lambda: node.counters.snapshot().get("settings_refused"))
+            wait_until(lambda: node.counters.snapshot().get("settings_refused"))
             assert node.document == {"a": 1}
             put(server, a=3, bad=False)
             node.wait_for(a=3, bad=False)
@@ -154,7 +154,7 @@
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
             put(server, broken=True)
-            until(lambda: node.counters.snapshot().get("settings_refused"))
+            wait_until(lambda: node.counters.snapshot().get("settings_refused"))
             put(server, broken=False)
             node.wait_for(a=1, broken=False)
 
@@ -194,7 +194,7 @@
         put(server, a=1)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
-            until(lambda: any(member.watches for member in server.members))
+            wait_until(lambda: any(member.watches for member in server.members))
             number = next(n for n, member in enumerate(server.members) if member.watches)
             server.cluster.set_reach(number, reach)
             put(server, a=2)
@@ -207,7 +207,7 @@
         put(server, a=1)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
-            until(lambda: any(member.watches for member in server.members))
+            wait_until(lambda: any(member.watches for member in server.members))
             for member in server.members:
                 if member.watches:
                     member.member.watches_silent = True
@@ -278,7 +278,7 @@
 @contextmanager
 def peer(answer: bytes, then: str) -> Iterator[HostPort]:
     """A member that answers each request with these bytes, and then ends, is silent or trickles."""
-    with listening() as server:
+    with listening_socket() as server:
 
         def serve(client: socket.socket) -> None:
             with client, suppress(OSError):
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -18,11 +18,11 @@
 from irisstack.node import http, intake, service
 from irisstack.node.config import load
 from irisstack.node.counters import Counters
-from irisstack.node.decider import Arrival
+from irisstack.node.decider import Submission
 from irisstack.node.intake import Intake, Stage, _Listener
 from irisstack.node.service import Service
 from irisstack.settings import Reader, read
-from tests.node.support import rest_of, until
+from tests.node.support import read_to_end, wait_until
 from tests.node_support import (
     SETTINGS,
     EndpointPeer,
@@ -39,11 +39,11 @@
 
 
 @contextmanager
-def doorway(says: list[HTTPStatus | None]) -> Iterator[tuple[Intake, list[Arrival]]]:
+def doorway(says: list[HTTPStatus | None]) -> Iterator[tuple[Intake, list[Submission]]]:
     """An intake whose requests are answered at once with what stands there, or kept."""
-    arrivals: list[Arrival] = []
+    arrivals: list[Submission] = []
 
-    def post(arrival: Arrival) -> None:
+    def post(arrival: Submission) -> None:
         arrivals.append(arrival)
         if (answer := says[0]) is not None:
             arrival.client.answer(answer)
@@ -58,7 +58,7 @@
     """A client whose connection has come to a phase; what it was answered so far is read."""
     client = gevent_socket.create_connection(part.address)
     client.sendall(data)
-    until(lambda: any(c.phase is phase for c in part._connections.values()), phase.name)
+    wait_until(lambda: any(c.phase is phase for c in part._connections.values()), phase.name)
     if phase is intake._Phase.IDLE:
         assert b" 202 " in client.recv(65536)
     return client
@@ -116,8 +116,8 @@
         gevent.sleep(0)
         with suppress(OSError):
             client.sendall(later)
-        assert answers(rest_of(client)) == heard
-        until(lambda: part.empty)
+        assert answers(read_to_end(client)) == heard
+        wait_until(lambda: part.empty)
         assert len(arrivals) <= 1 + (phase is not intake._Phase.IDLE)
 
 
@@ -128,7 +128,7 @@
         gevent.sleep(0)
         assert not part.empty
         arrivals[0].client.answer(HTTPStatus.ACCEPTED)
-        assert answers(rest_of(client)) == [(202, "close")]
+        assert answers(read_to_end(client)) == [(202, "close")]
 
 
 @pytest.mark.parametrize("phase", [intake._Phase.IDLE, intake._Phase.FRESH])
@@ -141,7 +141,7 @@
         client = client_of(part, message("m1") if phase is intake._Phase.IDLE else b"", phase)
         client.sendall(CROSSING)
         assert part._make_room()
-        assert answers(rest_of(client)) == [REFUSED]
+        assert answers(read_to_end(client)) == [REFUSED]
         assert "m2" not in [arrival.id for arrival in arrivals]
 
 
@@ -153,7 +153,7 @@
             client.sendall(message(f"m{number}"))
         part.drain()
         part.close()
-        until(lambda: len(arrivals) == len(early), "all of them")
+        wait_until(lambda: len(arrivals) == len(early), "all of them")
         for client in early:
             with client:
                 assert client.recv(65536).startswith(b"HTTP/1.1 503 ")
@@ -214,22 +214,22 @@
 def test_the_node_does_not_end_before_a_client_that_came_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, half: bytes
 ) -> None:
-    monkeypatch.setattr(service, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(service, "END_BY", 1e6)
+    monkeypatch.setattr(service, "SHUTDOWN_ACCEPT_PERIOD", 0.0)
+    monkeypatch.setattr(service, "SHUTDOWN_DEADLINE", 1e6)
     monkeypatch.setattr(intake, "WHOLE_BY", 1e6)
     with node_here(tmp_path, PlatformPeer()) as (node, stop, _, address):
         run = gevent.spawn(node.run)
-        until(lambda: node._intake._server.started)
+        wait_until(lambda: node._intake._server.started)
         client = gevent_socket.create_connection(address)
         client.sendall(half)
-        until(lambda: len(node._intake._connections) == 1)
+        wait_until(lambda: len(node._intake._connections) == 1)
         stop.set()
-        until(lambda: node._intake.stage is Stage.CLOSED)
+        wait_until(lambda: node._intake.stage is Stage.CLOSED)
         for _ in range(5):  # looks at what is left
-            gevent.sleep(service.LOOK)
+            gevent.sleep(service.SHUTDOWN_POLL_INTERVAL)
         assert not run.dead
         client.sendall(CROSSING[len(half) :])
-        assert answers(rest_of(client)) == [REFUSED]
+        assert answers(read_to_end(client)) == [REFUSED]
         client.close()
         assert run.get(timeout=20.0) == 0
 
@@ -237,15 +237,15 @@
 def test_a_client_that_stays_for_ever_does_not_keep_the_node_beyond_its_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(service, "END_BY", 0.3)
+    monkeypatch.setattr(service, "SHUTDOWN_ACCEPT_PERIOD", 0.0)
+    monkeypatch.setattr(service, "SHUTDOWN_DEADLINE", 0.3)
     monkeypatch.setattr(intake, "WHOLE_BY", 1e6)
     with node_here(tmp_path, PlatformPeer()) as (node, stop, _, address):
         run = gevent.spawn(node.run)
-        until(lambda: node._intake._server.started)
+        wait_until(lambda: node._intake._server.started)
         with gevent_socket.create_connection(address) as client:
             client.sendall(CROSSING[:30])
-            until(lambda: len(node._intake._connections) == 1)
+            wait_until(lambda: len(node._intake._connections) == 1)
             stop.set()
             assert run.get(timeout=20.0) == 0
 
@@ -255,10 +255,10 @@
     with node_here(tmp_path, PlatformPeer()) as (node, stop, _, address):
         stop.set()
         run = gevent.spawn(node.run)
-        until(lambda: node._intake._server.started)
+        wait_until(lambda: node._intake._server.started)
         client = gevent_socket.create_connection(address)
         client.sendall(CROSSING)
-        assert answers(rest_of(client)) == [REFUSED]
+        assert answers(read_to_end(client)) == [REFUSED]
         client.close()
         assert run.get(timeout=20.0) == 0
 
@@ -273,11 +273,11 @@
 
     with node_here(tmp_path, PlatformPeer()) as (node, stop, reread, _):
         run = gevent.spawn(node.run)
-        until(lambda: node._intake._server.started)
+        wait_until(lambda: node._intake._server.started)
         monkeypatch.setattr(service, "load", fails)
         for _ in range(2):  # the second is read by what outlived the first
             reread.set()
-            until(lambda: not reread.is_set())
+            wait_until(lambda: not reread.is_set())
             gevent.sleep(0)
         assert not stop.is_set()
         stop.set()
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -14,7 +14,7 @@
 from irisstack.node import http, intake
 from irisstack.node.buffer import Buffer
 from irisstack.node.counters import Counters
-from irisstack.node.decider import Arrival
+from irisstack.node.decider import Submission
 from irisstack.node.intake import Intake
 from irisstack.settings import Reader, read
 from tests.node_support import SETTINGS, EndpointPeer, PlatformPeer, eventually, message, scene
@@ -123,9 +123,9 @@
 
 
 @contextlib.contextmanager
-def small_intake(most: int) -> Iterator[tuple[Intake, list[Arrival]]]:
+def small_intake(most: int) -> Iterator[tuple[Intake, list[Submission]]]:
     """Room for few clients; what they hand in is kept unanswered."""
-    arrivals: list[Arrival] = []
+    arrivals: list[Submission] = []
     part = Intake(("127.0.0.1", 0), read(Reader(SETTINGS)), arrivals.append, Counters(), most)
     part.start()
     yield part, arrivals
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -25,7 +25,7 @@
 from irisstack.node.intake import Intake
 from irisstack.node.list_reader import ListReader
 from irisstack.node.record_clock import wall_clock
-from irisstack.node.results import Ending, Reached, answered, answered_each, unanswered
+from irisstack.node.results import EndReason, Reached, answer_result, batch_results, unanswered_result
 from irisstack.node.store import Entry, Store
 from irisstack.settings import Reader, read
 from tests.node_support import SETTINGS, message, raw
@@ -207,19 +207,19 @@
 @pytest.mark.parametrize(
     ("reached", "ending", "outcome"),
     [
-        (Reached.NOTHING, Ending.GIVEN_UP, api.Outcome.CONNECT_FAILED),
-        (Reached.CONNECTED, Ending.BROKEN, api.Outcome.CONNECT_FAILED),
-        (Reached.CONNECTED, Ending.CALLED_OFF, api.Outcome.CONNECT_FAILED),
-        (Reached.CONNECTED, Ending.WITHHELD, api.Outcome.NOT_SENT),
-        (Reached.WRITTEN, Ending.BROKEN, api.Outcome.RESET),
-        (Reached.WRITTEN, Ending.GIVEN_UP, api.Outcome.TIMEOUT),
-        (Reached.WRITTEN, Ending.CALLED_OFF, api.Outcome.CANCELLED),
+        (Reached.NOTHING, EndReason.GIVEN_UP, api.Outcome.CONNECT_FAILED),
+        (Reached.CONNECTED, EndReason.BROKEN, api.Outcome.CONNECT_FAILED),
+        (Reached.CONNECTED, EndReason.CALLED_OFF, api.Outcome.CONNECT_FAILED),
+        (Reached.CONNECTED, EndReason.WITHHELD, api.Outcome.NOT_SENT),
+        (Reached.WRITTEN, EndReason.BROKEN, api.Outcome.RESET),
+        (Reached.WRITTEN, EndReason.GIVEN_UP, api.Outcome.TIMEOUT),
+        (Reached.WRITTEN, EndReason.CALLED_OFF, api.Outcome.CANCELLED),
     ],
 )
 def test_whether_it_may_have_run_is_told_by_the_last_byte(
-    reached: Reached, ending: Ending, outcome: api.Outcome
+    reached: Reached, ending: EndReason, outcome: api.Outcome
 ) -> None:
-    assert unanswered(reached, ending).outcome is outcome
+    assert unanswered_result(reached, ending).outcome is outcome
 
 
 def said(status: int, body: str = "", **headers: str) -> http.Message:
@@ -244,22 +244,22 @@
 def test_the_outcome_of_an_answer(
     answer: http.Message, outcome: api.Outcome, over: bool, wait: float | None
 ) -> None:
-    result = answered(answer, ())
-    assert (result.outcome, result.over, result.retry_after) == (outcome, over, wait)
+    result = answer_result(answer, ())
+    assert (result.outcome, result.final, result.retry_after) == (outcome, over, wait)
 
 
 def test_a_report_is_read_in_the_order_of_the_settings() -> None:
     fields = ("x0", "x1")
-    assert answered(said(200, x_server_load="x1=25,x0=0.4"), fields).report == (0.4, 25.0)
-    assert answered(said(200, x_server_load="x1=25"), fields).report == (0.0, 25.0)
-    assert answered(said(200, x_server_load="nonsense"), fields).report == ()
-    assert answered(said(200, x_server_load="x0=nan,x1=inf"), fields).report == ()
+    assert answer_result(said(200, x_server_load="x1=25,x0=0.4"), fields).report == (0.4, 25.0)
+    assert answer_result(said(200, x_server_load="x1=25"), fields).report == (0.0, 25.0)
+    assert answer_result(said(200, x_server_load="nonsense"), fields).report == ()
+    assert answer_result(said(200, x_server_load="x0=nan,x1=inf"), fields).report == ()
 
 
 def test_each_message_of_a_shared_call_has_its_end() -> None:
     body = "a accepted\r\nb fault\r\nc deferred\r\nd expired\r\ne no_more\r\nf nonsense\r\n"
-    results = answered_each(said(200, body, retry_after="2"), ["a", "b", "c", "d", "e", "f", "g"], ())
-    assert [(r.outcome.name, r.over) for r in results.values()] == [
+    results = batch_results(said(200, body, retry_after="2"), ["a", "b", "c", "d", "e", "f", "g"], ())
+    assert [(r.outcome.name, r.final) for r in results.values()] == [
         ("OK", True),
         ("ERROR", False),
         ("FULL", False),
@@ -269,46 +269,46 @@
         ("RESET", False),
     ]
     assert {r.retry_after for r in results.values()} == {2.0}
-    assert {r.outcome for r in answered_each(said(413), ["a", "b"], ()).values()} == {api.Outcome.NOT_SENT}
-    assert {r.outcome for r in answered_each(said(500), ["a", "b"], ()).values()} == {api.Outcome.ERROR}
+    assert {r.outcome for r in batch_results(said(413), ["a", "b"], ()).values()} == {api.Outcome.NOT_SENT}
+    assert {r.outcome for r in batch_results(said(500), ["a", "b"], ()).values()} == {api.Outcome.ERROR}
 
 
 # ---- the lasting folder ----
 
 
-def entry(number: int, due: float, body: bytes = b"body") -> Entry:
+def make_entry(number: int, due: float, body: bytes = b"body") -> Entry:
     return Entry(number, f"m{number}", "key", "safe", 0, 1, due, False, False, body)
 
 
-def take(store: Store, number: int, due: float = 2000.0, body: bytes = b"body") -> None:
-    store.take(entry(number, due, body))
-    store.write([store.taken(number)], 1000.0)
+def add_message(store: Store, number: int, due: float = 2000.0, body: bytes = b"body") -> None:
+    store.add(make_entry(number, due, body))
+    store.write([store.accepted_record(number)], 1000.0)
 
 
 def test_what_is_known_of_a_message_comes_back(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
     for number in range(1, 7):
-        take(store, number)
-    store.out([(1, 0), (2, 0), (3, 0)], 1001.0)
+        add_message(store, number)
+    store.record_send([(1, 0), (2, 0), (3, 0)], 1001.0)
     store.write(
         [
-            store.end(1, 0, ran=True),
-            store.end(2, 0, ran=False),
-            store.over(4, "delivered"),
-            store.over(5, "bounced", 700),
-            store.over(6, "dead"),
+            store.end_attempt(1, 0, ran=True),
+            store.end_attempt(2, 0, ran=False),
+            store.finish(4, "delivered"),
+            store.finish(5, "bounced", 700),
+            store.finish(6, "dead"),
         ],
         1002.0,
     )
-    store.out([(1, 1)], 1003.0)
-    store.told([6], 1004.0)
+    store.record_send([(1, 1)], 1003.0)
+    store.mark_notified([6], 1004.0)
     again = Store(tmp_path, 3_000_000, 1005.0).entries
-    assert [(again[n].attempts, again[n].ran_at, again[n].owed) for n in (1, 2, 3)] == [
+    assert [(again[n].attempts, again[n].ran_at, again[n].pending) for n in (1, 2, 3)] == [
         (2, 1001.0, True),
         (1, None, True),
         (1, 1001.0, True),
     ]
-    assert [(again[n].result, again[n].wait_ms, again[n].to_tell) for n in (4, 5, 6)] == [
+    assert [(again[n].result, again[n].wait_ms, again[n].notice_pending) for n in (4, 5, 6)] == [
         ("delivered", 0, False),
         ("bounced", 700, True),
         ("dead", 0, False),
@@ -320,14 +320,14 @@
 @pytest.mark.parametrize("cut", [1, 10, 100])
 def test_a_torn_record_is_dropped_and_what_came_before_holds(tmp_path: Path, cut: int) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
-    take(store, 1)
-    take(store, 2)
+    add_message(store, 1)
+    add_message(store, 2)
     store.close()
     (path,) = tmp_path.iterdir()
     path.write_bytes(path.read_bytes()[:-cut])
     again = Store(tmp_path, 3_000_000, 1000.0)
     assert list(again.entries) == [1]
-    take(again, 2)
+    add_message(again, 2)
     assert list(Store(tmp_path, 3_000_000, 1000.0).entries) == [1, 2]
 
 
@@ -336,30 +336,30 @@
     store, now = Store(tmp_path, disk, 1000.0), 1000.0
     keep = [1, 2, 3]
     for number in keep:
-        take(store, number, due=1e9, body=bytes([number]) * 30_000)
+        add_message(store, number, due=1e9, body=bytes([number]) * 30_000)
     for number in range(10, 400):
         now += 1.0
-        store.take(entry(number, now + 5.0, bytes(9_000)))
-        store.write([store.taken(number)], now)
-        store.out([(number, 0)], now)
-        store.write([store.end(number, 0, ran=True), store.over(number, "delivered")], now)
+        store.add(make_entry(number, now + 5.0, bytes(9_000)))
+        store.write([store.accepted_record(number)], now)
+        store.record_send([(number, 0)], now)
+        store.write([store.end_attempt(number, 0, ran=True), store.finish(number, "delivered")], now)
         assert sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()) <= disk
     assert len(store.entries) < 200
     again = Store(tmp_path, disk, now)
     assert {n: again.entries[n].body for n in keep} == {n: bytes([n]) * 30_000 for n in keep}
-    assert all(again.entries[n].owed for n in keep)
+    assert all(again.entries[n].pending for n in keep)
 
 
 def test_many_large_messages_at_once_stay_within_the_limit(tmp_path: Path) -> None:
     disk = 3_000_000
     store, taken = Store(tmp_path, disk, 1000.0), []
     for number in range(1, 100):
-        new = entry(number, 2000.0, bytes(http.MAX_BODY))
+        new = make_entry(number, 2000.0, bytes(http.MAX_BODY))
         if not store.fits(new, 1000.0):
             break
-        store.take(new)
+        store.add(new)
         taken.append(number)
-    store.write([store.taken(number) for number in taken], 1000.0)
+    store.write([store.accepted_record(number) for number in taken], 1000.0)
     assert len(taken) > 10
     assert sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()) <= disk
     assert list(Store(tmp_path, disk, 1000.0).entries) == taken
@@ -367,30 +367,30 @@
 
 def test_a_folder_full_of_what_is_owed_has_room_again_once_that_is_over(tmp_path: Path) -> None:
     store, number = Store(tmp_path, 1_000_000, 1000.0), 1
-    while store.fits(entry(number, 1010.0, bytes(100)), 1000.0):
-        store.take(entry(number, 1010.0, bytes(100)))
-        store.over(number, "dead")  # its notice is still owed
+    while store.fits(make_entry(number, 1010.0, bytes(100)), 1000.0):
+        store.add(make_entry(number, 1010.0, bytes(100)))
+        store.finish(number, "dead")  # its notice is still owed
         number += 1
-    assert not store.fits(entry(number, 1010.0), 1009.0)
-    store.told(range(1, number), 1009.0)
-    assert store.fits(entry(number, 1030.0), 1011.0)
+    assert not store.fits(make_entry(number, 1010.0), 1009.0)
+    store.mark_notified(range(1, number), 1009.0)
+    assert store.fits(make_entry(number, 1030.0), 1011.0)
     assert store.entries == {}
 
 
 def test_what_is_over_and_told_makes_room_for_what_comes(tmp_path: Path) -> None:
     store = Store(tmp_path, 1_000_000, 1000.0)
     for number in range(1, 5000):
-        assert store.fits(entry(number, 1010.0 + number), 1000.0)
-        store.take(entry(number, 1010.0 + number))
-        store.over(number, "delivered")
+        assert store.fits(make_entry(number, 1010.0 + number), 1000.0)
+        store.add(make_entry(number, 1010.0 + number))
+        store.finish(number, "delivered")
     assert 4999 in store.entries  # the newest are known again
     assert 1 not in store.entries
 
 
 def test_a_message_that_was_refused_leaves_no_trace(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
-    store.take(entry(1, 2000.0))
-    store.refuse(1)
+    store.add(make_entry(1, 2000.0))
+    store.discard(1)
     assert (store.entries, store.by_id) == ({}, {})
     assert Store(tmp_path, 3_000_000, 1000.0).entries == {}
 
@@ -427,7 +427,7 @@
 ) -> None:
     ended: list[Ended] = []
     store = Store(tmp_path, 3_000_000, 1000.0)
-    take(store, 1)
+    add_message(store, 1)
     with socket.create_server(("127.0.0.1", 0)) as server:
         endpoint = lone_endpoint(server.getsockname(), ended, store)
         endpoint.worker.start()
@@ -475,7 +475,7 @@
             gevent.sleep(0.01)
         endpoint.worker.kill()
     assert {end.number: end.result for end in ended} == dict.fromkeys(
-        range(3), unanswered(Reached.WRITTEN, Ending.GIVEN_UP)
+        range(3), unanswered_result(Reached.WRITTEN, EndReason.GIVEN_UP)
     )
     assert time.monotonic() >= times["out-of-time"][0]  # not before: the hurried one alone ended nothing
     assert b"patient" in b"".join(came)
@@ -529,7 +529,7 @@
                 gevent.sleep(0.01)
             endpoint.worker.kill()
             assert b"m2" not in connection.recv(65536)
-    assert ended[1].result == unanswered(Reached.CONNECTED, Ending.GIVEN_UP)
+    assert ended[1].result == unanswered_result(Reached.CONNECTED, EndReason.GIVEN_UP)
 
 
 @pytest.mark.parametrize("call_off", [False, True])
@@ -573,7 +573,7 @@
     endpoint.worker.start()
     while not ended:
         gevent.sleep(0.01)
-    assert ended[0].result == unanswered(Reached.NOTHING, Ending.CALLED_OFF)
+    assert ended[0].result == unanswered_result(Reached.NOTHING, EndReason.CALLED_OFF)
 
 
 # ---- the list ----
@@ -696,15 +696,17 @@
         1,
         Store(tmp_path, 3_000_000, 1000.0),
         Counters(),
-        call=lambda *_: None,
-        ask=lambda _: None,
-        notice=lambda _: None,
-        room=10,
+        send_command=lambda *_: None,
+        request_endpoints=lambda _: None,
+        post_notice=lambda _: None,
+        mailbox_capacity=10,
     )
     reader = ListReader(settings)
 
     def learn(now: float, complete: bool, *members: dict[str, Any]) -> set[int]:
-        decider._learn(reader.update({"revision": 1, "complete": complete, "members": list(members)}), now)
+        decider._apply_update(
+            reader.update({"revision": 1, "complete": complete, "members": list(members)}), now
+        )
         return decider._destinations
 
     assert learn(0.0, True, member(1), member(2), member(3)) == {1, 2, 3}
@@ -718,12 +720,12 @@
 def test_an_ended_message_is_forgotten_once_its_time_is_up_and_its_notice_taken(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
     for number in (1, 2):
-        take(store, number)
-    store.write([store.over(1, "delivered"), store.over(2, "dead")], 1000.0)
-    store.drop_ended(3000.0)
+        add_message(store, number)
+    store.write([store.finish(1, "delivered"), store.finish(2, "dead")], 1000.0)
+    store.drop_expired(3000.0)
     assert list(store.entries) == [2]
-    store.told([2], 3000.0)
-    store.drop_ended(3000.0)
+    store.mark_notified([2], 3000.0)
+    store.drop_expired(3000.0)
     assert store.entries == {}
 
 
