--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -17,14 +17,22 @@
 from gevent.queue import Empty, Queue
 
 from irisstack import interface as api
-from irisstack.choice import NOT_RUN, Sender
+from irisstack.choice import NOT_RUN_OUTCOMES, Sender
 from irisstack.node.config import name_of, peer_of
 from irisstack.node.counters import Counters
-from irisstack.node.endpoint import Call, CallOff, CloseIdle, Command, Ended, Hold, Outgoing
+from irisstack.node.endpoint import (
+    AttemptResult,
+    Call,
+    CancelAttempt,
+    CloseIdle,
+    Command,
+    OutgoingMessage,
+    WithholdCalls,
+)
 from irisstack.node.mailbox import enlarge
 from irisstack.node.record_clock import StepDetector
 from irisstack.node.store import Entry, Store
-from irisstack.watch import Watching
+from irisstack.shadow import ShadowSender
 
 NO_TOKEN = -1
 """Of a timer that the node set for itself."""
@@ -86,7 +94,7 @@
     """For whom new messages are taken on."""
 
 
-Item = Submission | Ended | api.EndpointsUpdated | api.PeerMessage | NewSettings
+Item = Submission | AttemptResult | api.EndpointsUpdated | api.PeerMessage | NewSettings
 """What comes to the decider's mailbox."""
 
 
@@ -126,7 +134,7 @@
         self._classless: list[tuple[float, Entry]] = []  # owed till then, under classes not known yet
         self._sender = Sender(settings, seed)
         if trial_settings is not None:
-            self._sender = Watching(settings, trial_settings, seed, counters.add)
+            self._sender = ShadowSender(settings, trial_settings, seed, counters.add)
         self._tell = send_gossip
         self._store = store
         self._clock = store.clock
@@ -219,8 +227,8 @@
             is_retry=entry.is_retry,
             from_dead_sender=entry.from_dead_sender,
             attempts=entry.attempts,
-            maybe_ran=ran,
-            ran_in=zones.index(entry.ran_in) if entry.ran_in in zones else None,
+            may_have_run_at=ran,
+            may_have_run_zone=zones.index(entry.ran_in) if entry.ran_in in zones else None,
         )
 
     # ---- the loop ----
@@ -229,7 +237,7 @@
         """One turn after another, the settings' resolution apart at the least."""
         while True:
             items = [] if self._next else self._wait()
-            pause = self._turned + self._settings.tick - time.monotonic()
+            pause = self._turned + self._settings.clock_resolution - time.monotonic()
             if pause > 0.0:
                 gevent.sleep(pause)
             while True:
@@ -272,7 +280,7 @@
             match item:
                 case Submission():
                     self._arrived(item, turn, events, now)
-                case Ended():
+                case AttemptResult():
                     self._ended(item, turn, events, now)
                 case api.EndpointsUpdated():
                     self._apply_update(item, now)
@@ -359,7 +367,7 @@
         log.debug("message_turned_away", id=arrival.id, reason=reason.value)
         turn.answers.append((arrival, HTTPStatus.SERVICE_UNAVAILABLE, self._come_again))
 
-    def _ended(self, ended: Ended, turn: _Turn, events: list[api.Event], now: float) -> None:
+    def _ended(self, ended: AttemptResult, turn: _Turn, events: list[api.Event], now: float) -> None:
         _, sent = self._in_flight.pop(ended.number)
         result = ended.result
         entry = self._store.entries.get(ended.number)
@@ -378,7 +386,7 @@
                 report=result.report,
             )
         if owed:
-            ran = result.outcome not in NOT_RUN
+            ran = result.outcome not in NOT_RUN_OUTCOMES
             turn.records.append(self._store.end_attempt(ended.number, ended.attempt, ran))
             if result.final:
                 name = "delivered" if result.outcome is api.Outcome.OK else "withdrawn"
@@ -412,7 +420,7 @@
         destination, apart = self._listed[address].destination, self._kind(address).separate_routes
         for other in {place for place, _ in self._in_flight.values()}:
             if other == address or (not apart and self._listed[other].destination == destination):
-                self._call(other, Hold(until))
+                self._call(other, WithholdCalls(until))
 
     def _apply_update(self, update: api.EndpointsUpdated, now: float) -> None:
         """Keep what a call needs to know of its endpoint, and for whom messages may be.
@@ -541,7 +549,7 @@
         match action:
             case api.Cancel(number, attempt):
                 if number in self._in_flight:
-                    self._call(self._in_flight[number][0], CallOff(number, attempt))
+                    self._call(self._in_flight[number][0], CancelAttempt(number, attempt))
             case api.CloseIdle(address):
                 self._call(address, CloseIdle())
             case api.Subscribe() | api.FetchEndpoints():
@@ -555,7 +563,7 @@
 
     def _send(self, sends: list[api.Send], now: float) -> None:
         """What goes to one endpoint in one turn travels together, as far as its kind allows."""
-        by_endpoint: dict[api.Address, list[Outgoing]] = {}
+        by_endpoint: dict[api.Address, list[OutgoingMessage]] = {}
         for send in sends:
             entry = self._store.entries.get(send.message)
             if entry is None or not entry.pending:  # withdrawn in this very turn
@@ -575,8 +583,15 @@
             due = self._clock.to_monotonic(entry.due)  # as accepted, whatever the wall clock did since
             give_up = min(due, send.give_up_at or due)
             by_endpoint.setdefault(send.endpoint, []).append(
-                Outgoing(
-                    entry.number, entry.attempts, entry.id, entry.key, entry.body, give_up, due, send.leave_by
+                OutgoingMessage(
+                    entry.number,
+                    entry.attempts,
+                    entry.id,
+                    entry.key,
+                    entry.body,
+                    give_up,
+                    due,
+                    send.write_deadline,
                 )
             )
         for address, messages in by_endpoint.items():
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -7,7 +7,7 @@
 
 from irisstack import interface as api
 from irisstack.interface import Outcome
-from tests.node_support import EndpointPeer, Node, PlatformPeer, eventually
+from tests.node_support import Node, ScriptedEndpoint, ScriptedPlatform, eventually
 from tests.support import CLASSES, KEYED_INDEX, Driver, endpoint
 
 
@@ -24,7 +24,7 @@
         out = driver.sends[seen:]
         seen = len(driver.sends)
         for number, (_, send) in enumerate(out):
-            driver.end(send.message, Outcome.FULL if number < refusals else Outcome.OK, now)
+            driver.end_attempt(send.message, Outcome.FULL if number < refusals else Outcome.OK, now)
         refusals = max(0, refusals - len(out))
         driver.turn(now)
     assert {send.message for _, send in driver.sends} == set(owed)
@@ -38,23 +38,26 @@
     classes = tuple(replace(kind, dedup_window=window) for kind in CLASSES)
     driver = Driver(endpoint(1), classes=classes)
     ran = 10.0 - away
-    driver.turn(10.0, api.MessageReceived(1, KEYED_INDEX, 1, 20.0, attempts=1, maybe_ran=ran, ran_in=0))
+    driver.turn(
+        10.0,
+        api.MessageReceived(1, KEYED_INDEX, 1, 20.0, attempts=1, may_have_run_at=ran, may_have_run_zone=0),
+    )
     driver.turn(15.0)
     for at, send in driver.sends:
-        assert at <= send.leave_by == ran + window
+        assert at <= send.write_deadline == ran + window
     ends = {**driver.refused, **dict.fromkeys(driver.failed)}
     assert bool(driver.sends) != bool(ends)
-    assert bool(driver.sends) == (window - away > driver.sender._set.connect_timeout)
+    assert bool(driver.sends) == (window - away > driver.sender._settings.connect_timeout)
 
 
 def test_a_node_is_ready_with_nobody_there(tmp_path: Path) -> None:
     """No list, no platform and no endpoint answer, and the folder holds what is owed."""
-    platform, partner = PlatformPeer(), EndpointPeer(None)
-    platform.list(partner, 1)
+    platform, partner = ScriptedPlatform(), ScriptedEndpoint(None)
+    platform.add_member(partner, 1)
     node = Node(tmp_path, platform).start()
     try:
         for number in range(20):
-            assert node.hand_in(f"m{number}").status == 202
+            assert node.submit(f"m{number}").status == 202
         eventually(lambda: partner.requests)
         node.kill()
         platform.close()
