--- a/irisstack/node/endpoint.py
+++ b/irisstack/node/endpoint.py
@@ -21,13 +21,13 @@
 from irisstack.node.mailbox import enlarge
 from irisstack.node.results import (
     DELIVERED,
-    Ending,
+    EndReason,
     Reached,
     Result,
-    answered,
-    answered_each,
-    name_of_error,
-    unanswered,
+    answer_result,
+    batch_results,
+    error_name,
+    unanswered_result,
 )
 from irisstack.node.store import Store
 
@@ -207,7 +207,7 @@
         Returns whether the connection can be reused.
         """
         ids = [message.id for message in call.messages]
-        reached, ending, error_name = Reached.NOTHING, Ending.BROKEN, ""
+        reached, ending, error_label = Reached.NOTHING, EndReason.BROKEN, ""
         keep = False
         response: http.Message | None = None
         try:
@@ -226,18 +226,18 @@
             reached = Reached.WRITTEN
             response = self._read_response(call.deadline)
             keep = response is not None and response.keep_alive and not len(self._buffer)
-            ending = Ending.BROKEN if response is not None else Ending.GIVEN_UP
+            ending = EndReason.BROKEN if response is not None else EndReason.GIVEN_UP
         except _Cancelled:
-            ending = Ending.CALLED_OFF
+            ending = EndReason.CALLED_OFF
             response = self._received_response() if reached is Reached.WRITTEN else None
         except _CallWithheld:
-            ending = Ending.WITHHELD
+            ending = EndReason.WITHHELD
         except sockets.LocalResourceError as error:
-            ending, error_name = Ending.WITHHELD, name_of_error(error)
+            ending, error_label = EndReason.WITHHELD, error_name(error)
         except TimeoutError as error:
-            ending, error_name = Ending.GIVEN_UP, name_of_error(error)
+            ending, error_label = EndReason.GIVEN_UP, error_name(error)
         except (OSError, http.BadMessage) as error:
-            ending, error_name = Ending.BROKEN, name_of_error(error)
+            ending, error_label = EndReason.BROKEN, error_name(error)
         except Exception as error:  # an unexpected error must not leave a message without a result
             log.error("call_failed", peer=format_host_port(self._host_port), error=repr(error))
         call.ended = True
@@ -249,11 +249,11 @@
         ):
             results = dict.fromkeys(ids, DELIVERED)
         elif response is None:
-            results = dict.fromkeys(ids, replace(unanswered(reached, ending), error=error_name))
+            results = dict.fromkeys(ids, replace(unanswered_result(reached, ending), error=error_label))
         elif len(call.messages) == 1:
-            results = dict.fromkeys(ids, answered(response, self._report_fields))
+            results = dict.fromkeys(ids, answer_result(response, self._report_fields))
         else:
-            results = answered_each(response, ids, self._report_fields)
+            results = batch_results(response, ids, self._report_fields)
         if not keep:
             if self._socket is not None:
                 log.debug(
@@ -326,7 +326,7 @@
         return response
 
 
-def _close_reason(response: http.Message | None, ending: Ending) -> str:
+def _close_reason(response: http.Message | None, ending: EndReason) -> str:
     """Why a connection is closed after a call, for the log."""
     if response is None:
         return ending.name.lower()
@@ -464,7 +464,7 @@
 
     def _record_call(self, call: Call) -> bool:
         attempts = [(message.number, message.attempt) for message in call.messages]
-        return self._store.out(attempts, call.sent_at, call.zone)
+        return self._store.record_send(attempts, call.sent_at, call.zone)
 
     def _withhold_reason(self, call: Call) -> "WithheldReason | None":
         """Why a call must not be sent now, or `None` if it may be."""
--- a/irisstack/node/intake.py
+++ b/irisstack/node/intake.py
@@ -22,7 +22,7 @@
 from irisstack.node.buffer import Buffer
 from irisstack.node.config import HostPort
 from irisstack.node.counters import Counters
-from irisstack.node.decider import Arrival, come_again
+from irisstack.node.decider import Submission, rejection_retry_after
 from irisstack.node.listen_filter import drop_new_connections
 
 BACKLOG = 512
@@ -354,7 +354,7 @@
         self,
         listen: HostPort,
         settings: api.Settings,
-        post: Callable[[Arrival], None],
+        post: Callable[[Submission], None],
         counters: Counters,
         max_connections: int,
     ) -> None:
@@ -383,7 +383,7 @@
         self._tenants = {
             tenant.name: i for i, tenant in enumerate(settings.tenants) if tenant.name in tenants
         }
-        self.retry_after = come_again(settings)
+        self.retry_after = rejection_retry_after(settings)
 
     def start(self) -> None:
         self._server.start()
@@ -448,7 +448,7 @@
                 return True
         return False
 
-    def make_arrival(self, request: http.Message, name: str, client: _Connection) -> Arrival:
+    def make_arrival(self, request: http.Message, name: str, client: _Connection) -> Submission:
         """The message that a request submits to the class `name` of its path."""
         if request.headers.get("x-priority-class", name) != name:
             raise _MalformedRequest("X-Priority-Class: differs from the class in the path")
@@ -464,7 +464,7 @@
             raise _MalformedRequest("X-Tenant-Id: unknown tenant")
         retried = request.headers.get("x-retried", "")
         timeout = min(_timeout_seconds(request), self._message_classes[index].deadline)
-        return Arrival(
+        return Submission(
             client,
             id_,
             key,
--- a/irisstack/node/sockets.py
+++ b/irisstack/node/sockets.py
@@ -9,7 +9,7 @@
 
 from irisstack.node.buffer import Buffer
 from irisstack.node.config import HostPort
-from irisstack.node.retry import Made, retry
+from irisstack.node.retry import ResultT, retry
 
 BROKEN_EVENTS = select.POLLHUP | select.POLLERR
 MIN_TIMEOUT = 0.001
@@ -46,7 +46,7 @@
         raise LocalResourceError(error.errno, error.strerror) from None
 
 
-def retry_while_out_of_resources(operation: Callable[[], Made], seconds: float) -> Made:
+def retry_while_out_of_resources(operation: Callable[[], ResultT], seconds: float) -> ResultT:
     """Run an operation, and retry it for a number of seconds while this machine is out of resources."""
     return retry(
         lambda _: operation(),
