--- a/irisstack/node/intake.py
+++ b/irisstack/node/intake.py
@@ -219,12 +219,12 @@
             self._reject_malformed(HTTPStatus.METHOD_NOT_ALLOWED)
             return
         try:
-            arrival = self._intake.make_arrival(request, name, self)
+            submission = self._intake.make_submission(request, name, self)
         except _MalformedRequest as error:
             self._reject_malformed(HTTPStatus.BAD_REQUEST, f"{error}\n".encode())
             return
         self._answered.clear()
-        self._intake.post(arrival)
+        self._intake.post(submission)
         self._answered.wait()
 
     def _reject_malformed(self, status: HTTPStatus, reason: bytes = b"") -> None:
@@ -448,7 +448,7 @@
                 return True
         return False
 
-    def make_arrival(self, request: http.Message, name: str, client: _Connection) -> Submission:
+    def make_submission(self, request: http.Message, name: str, client: _Connection) -> Submission:
         """The message that a request submits to the class `name` of its path."""
         if request.headers.get("x-priority-class", name) != name:
             raise _MalformedRequest("X-Priority-Class: differs from the class in the path")
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -751,7 +751,7 @@
 
 def test_a_request_that_fails_inside_the_node_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     intake = Intake(("127.0.0.1", 0), read(Reader(SETTINGS)), lambda _: None, Counters(), 10)
-    monkeypatch.setattr(intake, "make_arrival", lambda *_: 1 / 0)
+    monkeypatch.setattr(intake, "make_submission", lambda *_: 1 / 0)
     intake.start()
     with gevent_socket.create_connection(intake.address) as client:
         client.sendall(message_request("m1"))
