--- a/tests/node/test_system_faults.py
+++ b/tests/node/test_system_faults.py
@@ -18,10 +18,10 @@
 from tests.node.fault_support import node_with_faults
 from tests.node_support import TIMEOUT_S, ScriptedEndpoint, eventually, http_response, message_request
 
-NO_ROOM = Rule(SystemCall.WRITE, DescriptorKind.FOLDER, errno.ENOSPC)
+DISK_FULL = Rule(SystemCall.WRITE, DescriptorKind.FOLDER, errno.ENOSPC)
 
 
-def test_an_answer_that_the_system_takes_in_pieces_arrives(tmp_path: Path) -> None:
+def test_answer_sent_in_pieces_arrives(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         rig.fail(Rule(SystemCall.SEND, DescriptorKind.CLIENT, limit=7))
@@ -30,28 +30,30 @@
         assert rig.hits() > 5
 
 
-@pytest.mark.parametrize("kind", ["unsafe", "malformed"])
-def test_an_answer_of_which_no_more_fits_for_a_moment_arrives(tmp_path: Path, kind: str) -> None:
+@pytest.mark.parametrize("request_kind", ["unsafe", "malformed"])
+def test_answer_arrives_after_send_buffer_was_full(tmp_path: Path, request_kind: str) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         rig.fail(
             Rule(SystemCall.SEND, DescriptorKind.CLIENT, limit=9, count=1),
             Rule(SystemCall.SEND, DescriptorKind.CLIENT, errno.EAGAIN, count=1),
         )
-        timeout = "5.000" if kind == "unsafe" else "soon"
-        assert node.submit("m1", "unsafe", X_Timeout=timeout).status == (202 if kind == "unsafe" else 400)
+        timeout = "5.000" if request_kind == "unsafe" else "soon"
+        assert node.submit("m1", "unsafe", X_Timeout=timeout).status == (
+            202 if request_kind == "unsafe" else 400
+        )
         assert rig.hits(1) == 1
 
 
-def test_a_folder_that_is_full_for_a_while_loses_nothing(tmp_path: Path) -> None:
+def test_temporarily_full_disk_loses_no_message(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 0.800"), http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         assert node.submit("owed", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the first call's end")
-        rig.fail(NO_ROOM)
-        refused = node.submit("refused", "unsafe")
-        assert refused.status == 503
-        assert refused.headers["retry-after"]
+        rig.fail(DISK_FULL)
+        rejected = node.submit("refused", "unsafe")
+        assert rejected.status == 503
+        assert rejected.headers["retry-after"]
         rig.fail()
         eventually(lambda: node.submit("taken", "unsafe").status == 202, "a message taken on")
         eventually(lambda: node.counters().get("delivered") == 2, "the deliveries")
@@ -63,17 +65,17 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
-@pytest.mark.parametrize("part", [0, 5, 100], ids="{} bytes written first".format)
-def test_a_write_that_fails_after_a_part_leaves_a_folder_that_can_be_read(
-    tmp_path: Path, part: int, error: int
-) -> None:
+@pytest.mark.parametrize("written_bytes", [0, 5, 100], ids="{} bytes written first".format)
+def test_log_stays_readable_after_partial_write_fails(tmp_path: Path, written_bytes: int, error: int) -> None:
     """What is written behind the failure is read by the next life, what was refused is not."""
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 2.500"))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("before", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the first call's end")
         rig.fail(
-            Rule(SystemCall.WRITE, DescriptorKind.FOLDER, limit=part, count=1 if part else 0),
+            Rule(
+                SystemCall.WRITE, DescriptorKind.FOLDER, limit=written_bytes, count=1 if written_bytes else 0
+            ),
             Rule(SystemCall.WRITE, DescriptorKind.FOLDER, error, count=1),
         )
         assert node.submit("refused", "unsafe").status == 503
@@ -86,13 +88,13 @@
         assert not endpoint.calls_with("refused")
 
 
-@pytest.mark.parametrize("part", [1, 5, 60, 250])
-def test_a_kill_in_the_middle_of_a_write_loses_nothing_taken_on(tmp_path: Path, part: int) -> None:
+@pytest.mark.parametrize("written_bytes", [1, 5, 60, 250])
+def test_kill_during_write_loses_no_accepted_message(tmp_path: Path, written_bytes: int) -> None:
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 2.500"))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("before", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the first call's end")
-        rig.fail(Rule(SystemCall.WRITE, DescriptorKind.FOLDER, KILL, limit=part))
+        rig.fail(Rule(SystemCall.WRITE, DescriptorKind.FOLDER, KILL, limit=written_bytes))
         with contextlib.suppress(OSError):
             node.submit("killed", "unsafe")
         assert node.process is not None
@@ -104,26 +106,26 @@
         eventually(lambda: node.counters().get("delivered") == 1, "the delivery")
 
 
-def test_a_message_that_ends_while_the_folder_is_full_has_its_notice_in_time(tmp_path: Path) -> None:
+def test_message_finished_while_disk_is_full_is_notified_in_time(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(None)
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
-        accepted = time.monotonic()
+        accepted_at = time.monotonic()
         assert node.submit("m1", "unsafe", X_Timeout="1.500").status == 202
         eventually(lambda: endpoint.requests, "the call")
-        rig.fail(NO_ROOM)
+        rig.fail(DISK_FULL)
         assert eventually(lambda: platform.notice_for("m1"), "the notice")["result"] == "dead"
-        assert time.monotonic() - accepted <= 1.5 + 0.3 + 0.5
+        assert time.monotonic() - accepted_at <= 1.5 + 0.3 + 0.5
         node.kill()
         node.start()
         assert len(endpoint.requests) == 1
 
 
-def test_no_call_leaves_unrecorded_and_one_leaves_once_it_is(tmp_path: Path) -> None:
+def test_call_is_sent_only_once_it_is_recorded(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 0.300"), http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         assert node.submit("m1", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the first call's end")
-        rig.fail(NO_ROOM)
+        rig.fail(DISK_FULL)
         time.sleep(1.0)
         assert len(endpoint.requests) == 1
         rig.fail()
@@ -131,11 +133,11 @@
         assert not platform.notices
 
 
-def test_a_node_starts_and_sheds_over_a_folder_that_is_full(tmp_path: Path) -> None:
+def test_node_starts_with_full_disk_and_rejects_messages(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         node.kill()
-        rig.fail(NO_ROOM, Rule(SystemCall.OPEN, error=errno.ENOSPC))
+        rig.fail(DISK_FULL, Rule(SystemCall.OPEN, error=errno.ENOSPC))
         node.start()
         assert node.submit("m1").status == 503
         rig.fail()
@@ -143,7 +145,7 @@
         eventually(lambda: node.counters().get("delivered"), "the delivery")
 
 
-def test_a_log_on_a_full_disk_does_not_end_the_node(tmp_path: Path) -> None:
+def test_node_survives_full_disk_of_its_log(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         rig.fail(Rule(SystemCall.WRITE, DescriptorKind.FILE, errno.ENOSPC))
@@ -155,22 +157,22 @@
         assert node.terminate() == 0
 
 
-TRANSIENT = [errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO]
+TRANSIENT_ERRORS = [errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO]
 
 
-@pytest.mark.parametrize("error", TRANSIENT, ids=errno.errorcode.get)
-def test_clients_are_answered_behind_accepts_that_fail(tmp_path: Path, error: int) -> None:
+@pytest.mark.parametrize("error", TRANSIENT_ERRORS, ids=errno.errorcode.get)
+def test_clients_are_answered_after_failed_accepts(tmp_path: Path, error: int) -> None:
     """Within the 0.4 s that a client waits, also when six calls in a row fail."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         rig.fail(Rule(SystemCall.ACCEPT, error=error, count=6))
-        began = time.monotonic()
+        started_at = time.monotonic()
         assert node.submit("m1").status == 202
-        assert time.monotonic() - began < 0.4
+        assert time.monotonic() - started_at < 0.4
         assert rig.hits() == 6
 
 
-@pytest.mark.parametrize("error", TRANSIENT, ids=errno.errorcode.get)
-def test_the_backlog_is_answered_at_the_end_though_accepts_fail(tmp_path: Path, error: int) -> None:
+@pytest.mark.parametrize("error", TRANSIENT_ERRORS, ids=errno.errorcode.get)
+def test_backlog_is_answered_at_shutdown_despite_failed_accepts(tmp_path: Path, error: int) -> None:
     """Closed over, the connections that wait in it would be reset under requests that were written."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         assert node.process is not None
@@ -187,7 +189,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "error"),
+    ("system_call", "error"),
     [
         (SystemCall.SOCKET, errno.ENOBUFS),
         (SystemCall.SOCKET, errno.EMFILE),
@@ -199,12 +201,12 @@
     ],
     ids=lambda value: value.name.lower() if isinstance(value, SystemCall) else errno.errorcode[value],
 )
-def test_the_own_machine_s_errors_do_not_count_against_a_destination(
-    tmp_path: Path, call: SystemCall, error: int
+def test_local_errors_do_not_count_against_destination(
+    tmp_path: Path, system_call: SystemCall, error: int
 ) -> None:
     """Nor do they use up attempts: messages wait for them, though each connect fails several times."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, platform, rig):
-        rig.fail(Rule(call, error=error, count=40))
+        rig.fail(Rule(system_call, error=error, count=40))
         for number in range(8):
             assert node.submit(f"m{number}", "unsafe", X_Timeout="5.000").status == 202
         eventually(lambda: node.counters().get("delivered") == 8, "the deliveries")
@@ -214,7 +216,7 @@
         assert rig.hits() > 8
 
 
-def test_calls_interrupted_by_signals_go_on(tmp_path: Path) -> None:
+def test_interrupted_system_calls_are_resumed(tmp_path: Path) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         rig.fail(Rule(SystemCall.WAIT, error=errno.EINTR, count=200))
         for number in range(10):
@@ -223,12 +225,12 @@
         assert rig.hits() > 10
 
 
-@pytest.mark.parametrize("kind", [DescriptorKind.CLIENT, DescriptorKind.PEER])
-def test_reads_and_writes_of_single_bytes_change_nothing(tmp_path: Path, kind: DescriptorKind) -> None:
+@pytest.mark.parametrize("descriptor", [DescriptorKind.CLIENT, DescriptorKind.PEER])
+def test_reads_and_writes_of_single_bytes_work(tmp_path: Path, descriptor: DescriptorKind) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, platform, rig):
         rig.fail(
-            Rule(SystemCall.SEND, kind, limit=1),
-            Rule(SystemCall.RECEIVE, kind, limit=1),
+            Rule(SystemCall.SEND, descriptor, limit=1),
+            Rule(SystemCall.RECEIVE, descriptor, limit=1),
         )
         for number in range(5):
             assert node.submit(f"m{number}", "unsafe").status == 202
@@ -240,23 +242,21 @@
 @pytest.mark.parametrize(
     "error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET], ids=errno.errorcode.get
 )
-def test_a_connection_that_breaks_under_an_unsafe_call_leaves_one_final_answer(
-    tmp_path: Path, error: int
-) -> None:
+def test_broken_connection_of_unsafe_call_gives_one_final_result(tmp_path: Path, error: int) -> None:
     """The request was written, so it may have run: it is not sent again."""
     endpoint = ScriptedEndpoint(None)
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         eventually(lambda: platform.watchers, "the watch")
         rig.fail(Rule(SystemCall.RECEIVE, DescriptorKind.PEER, error))
         assert node.submit("m1", "unsafe").status == 202
-        name = f"ended_reset_{errno.errorcode[error]}"
-        eventually(lambda: node.counters().get(name) == 1, "the end of the call")
+        counter = f"ended_reset_{errno.errorcode[error]}"
+        eventually(lambda: node.counters().get(counter) == 1, "the end of the call")
         rig.fail()
         assert eventually(lambda: platform.notice_for("m1"), "the notice")["result"] == "dead"
         assert len(endpoint.requests) == 1
 
 
-def test_a_folder_that_cannot_be_read_at_once_is_read_again(tmp_path: Path) -> None:
+def test_reading_state_directory_is_retried(tmp_path: Path) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(429, "Retry-After: 8.000"))) as (
         node,
         _,
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENOBUFS], ids=errno.errorcode.get)
-def test_a_node_starts_though_it_gets_no_socket_at_first(tmp_path: Path, error: int) -> None:
+def test_start_retries_failed_sockets(tmp_path: Path, error: int) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         node.kill()
         rig.fail(Rule(SystemCall.SOCKET, error=error, count=4))
