--- a/tests/node/test_system_faults.py
+++ b/tests/node/test_system_faults.py
@@ -1,9 +1,8 @@
-"""System calls of a node fail as Linux documents it; every message keeps its one final answer.
+"""A node's system calls fail in the ways that Linux documents; every message keeps its one final result.
 
-Found beside the incident of the stepped wall clock, on real processes whose calls were made to fail. An
-answer of which the system took only a part was given up, so that its client got half of a status line and a
-close. A write to the lasting folder that failed ended the process, with an OSError in `part_failed` as the
-last line of its log.
+Guards against two failures, found with injected system call faults. An answer that the socket took only in
+part was given up, so the client got half a status line and a close. A failed write to the state directory
+ended the process, with an OSError in `part_failed` as the last line of the log.
 """
 
 import contextlib
@@ -48,14 +47,14 @@
 def test_temporarily_full_disk_loses_no_message(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 0.800"), http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
-        assert node.submit("owed", "unsafe").status == 202
-        eventually(lambda: node.counters().get("ended_full"), "the first call's end")
+        assert node.submit("pending", "unsafe").status == 202
+        eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
         rig.fail(DISK_FULL)
-        rejected = node.submit("refused", "unsafe")
+        rejected = node.submit("rejected", "unsafe")
         assert rejected.status == 503
         assert rejected.headers["retry-after"]
         rig.fail()
-        eventually(lambda: node.submit("taken", "unsafe").status == 202, "a message taken on")
+        eventually(lambda: node.submit("accepted", "unsafe").status == 202, "an accepted message")
         eventually(lambda: node.counters().get("delivered") == 2, "the deliveries")
         node.kill()
         node.start()
@@ -67,25 +66,25 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO], ids=errno.errorcode.get)
 @pytest.mark.parametrize("written_bytes", [0, 5, 100], ids="{} bytes written first".format)
 def test_log_stays_readable_after_partial_write_fails(tmp_path: Path, written_bytes: int, error: int) -> None:
-    """What is written behind the failure is read by the next life, what was refused is not."""
+    """The next process reads what was written after the failure, but not the rejected message."""
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 2.500"))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("before", "unsafe").status == 202
-        eventually(lambda: node.counters().get("ended_full"), "the first call's end")
+        eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
         rig.fail(
             Rule(
                 SystemCall.WRITE, DescriptorKind.FOLDER, limit=written_bytes, count=1 if written_bytes else 0
             ),
             Rule(SystemCall.WRITE, DescriptorKind.FOLDER, error, count=1),
         )
-        assert node.submit("refused", "unsafe").status == 503
-        eventually(lambda: node.submit("after", "unsafe").status == 202, "a message taken on")
+        assert node.submit("rejected", "unsafe").status == 503
+        eventually(lambda: node.submit("after", "unsafe").status == 202, "an accepted message")
         node.kill()
         endpoint.script[:] = [http_response(200)]
         node.start()
         assert node.counters()["recovered"] == 2
         eventually(lambda: node.counters().get("delivered") == 2, "the deliveries")
-        assert not endpoint.calls_with("refused")
+        assert not endpoint.calls_with("rejected")
 
 
 @pytest.mark.parametrize("written_bytes", [1, 5, 60, 250])
@@ -93,7 +92,7 @@
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 2.500"))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("before", "unsafe").status == 202
-        eventually(lambda: node.counters().get("ended_full"), "the first call's end")
+        eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
         rig.fail(Rule(SystemCall.WRITE, DescriptorKind.FOLDER, KILL, limit=written_bytes))
         with contextlib.suppress(OSError):
             node.submit("killed", "unsafe")
@@ -124,7 +123,7 @@
     endpoint = ScriptedEndpoint(http_response(429, "Retry-After: 0.300"), http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         assert node.submit("m1", "unsafe").status == 202
-        eventually(lambda: node.counters().get("ended_full"), "the first call's end")
+        eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
         rig.fail(DISK_FULL)
         time.sleep(1.0)
         assert len(endpoint.requests) == 1
@@ -141,7 +140,7 @@
         node.start()
         assert node.submit("m1").status == 503
         rig.fail()
-        eventually(lambda: node.submit("m2").status == 202, "a message taken on")
+        eventually(lambda: node.submit("m2").status == 202, "an accepted message")
         eventually(lambda: node.counters().get("delivered"), "the delivery")
 
 
@@ -153,7 +152,7 @@
         assert rig.hits() > 1
         rig.fail()
         assert "folder_not_written" not in node.log.read_text()
-        eventually(lambda: node.submit("m2").status == 202, "a message taken on")
+        eventually(lambda: node.submit("m2").status == 202, "an accepted message")
         assert node.terminate() == 0
 
 
@@ -162,7 +161,7 @@
 
 @pytest.mark.parametrize("error", TRANSIENT_ERRORS, ids=errno.errorcode.get)
 def test_clients_are_answered_after_failed_accepts(tmp_path: Path, error: int) -> None:
-    """Within the 0.4 s that a client waits, also when six calls in a row fail."""
+    """Clients wait 0.4 s for an answer; six accepts in a row fail."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         rig.fail(Rule(SystemCall.ACCEPT, error=error, count=6))
         started_at = time.monotonic()
@@ -173,7 +172,7 @@
 
 @pytest.mark.parametrize("error", TRANSIENT_ERRORS, ids=errno.errorcode.get)
 def test_backlog_is_answered_at_shutdown_despite_failed_accepts(tmp_path: Path, error: int) -> None:
-    """Closed over, the connections that wait in it would be reset under requests that were written."""
+    """Closing the listening socket over its backlog would reset connections whose requests are sent."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         assert node.process is not None
         rig.fail(Rule(SystemCall.ACCEPT, error=error))
@@ -204,7 +203,7 @@
 def test_local_errors_do_not_count_against_destination(
     tmp_path: Path, system_call: SystemCall, error: int
 ) -> None:
-    """Nor do they use up attempts: messages wait for them, though each connect fails several times."""
+    """Nor do they use up attempts: each connect fails several times, and the messages wait for it."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, platform, rig):
         rig.fail(Rule(system_call, error=error, count=40))
         for number in range(8):
@@ -243,7 +242,7 @@
     "error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET], ids=errno.errorcode.get
 )
 def test_broken_connection_of_unsafe_call_gives_one_final_result(tmp_path: Path, error: int) -> None:
-    """The request was written, so it may have run: it is not sent again."""
+    """The request was sent, so it may have run and must not be sent again."""
     endpoint = ScriptedEndpoint(None)
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         eventually(lambda: platform.watchers, "the watch")
@@ -263,7 +262,7 @@
         rig,
     ):
         assert node.submit("m1", "unsafe").status == 202
-        eventually(lambda: node.counters().get("ended_full"), "the first call's end")
+        eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
         node.kill()
         rig.fail(Rule(SystemCall.READ, DescriptorKind.FOLDER, errno.EIO, count=3))
         node.start()
