--- a/tests/node/test_sockets.py
+++ b/tests/node/test_sockets.py
@@ -16,60 +16,60 @@
 
 @pytest.fixture
 def pair() -> Iterator[Pair]:
-    near, far = socket.socketpair()
-    with near, far:
-        yield near, far
+    local, remote = socket.socketpair()
+    with local, remote:
+        yield local, remote
 
 
-def test_bytes_are_read_as_they_come_and_the_end_is_zero(pair: Pair) -> None:
-    near, far = pair
+def test_data_is_read_as_it_arrives_and_end_of_stream_is_zero(pair: Pair) -> None:
+    local, remote = pair
     buffer = Buffer()
-    far.sendall(b"one")
-    assert receive_before(near, buffer, time.monotonic() + 20.0) == 3
-    gevent.spawn_later(0.02, far.sendall, b"two")
-    assert receive_before(near, buffer, time.monotonic() + 20.0) == 3
+    remote.sendall(b"one")
+    assert receive_before(local, buffer, time.monotonic() + 20.0) == 3
+    gevent.spawn_later(0.02, remote.sendall, b"two")
+    assert receive_before(local, buffer, time.monotonic() + 20.0) == 3
     assert buffer.take(6) == b"onetwo"
-    far.close()
-    assert receive_before(near, buffer, time.monotonic() + 20.0) == 0
+    remote.close()
+    assert receive_before(local, buffer, time.monotonic() + 20.0) == 0
 
 
-def test_a_deadline_that_passes_while_nothing_comes_is_a_timeout(pair: Pair) -> None:
-    near, _ = pair
+def test_deadline_without_data_raises_timeout(pair: Pair) -> None:
+    local, _ = pair
     deadline = time.monotonic() + 0.05
     with pytest.raises(TimeoutError):
-        receive_before(near, Buffer(), deadline)
+        receive_before(local, Buffer(), deadline)
     assert deadline <= time.monotonic() < deadline + 20.0
 
 
-def test_a_deadline_that_has_passed_does_not_wait(pair: Pair) -> None:
-    near, _ = pair
+def test_past_deadline_does_not_wait(pair: Pair) -> None:
+    local, _ = pair
     with gevent.Timeout(20.0), pytest.raises(TimeoutError):
-        receive_before(near, Buffer(), time.monotonic() - 1.0)
+        receive_before(local, Buffer(), time.monotonic() - 1.0)
 
 
-@pytest.mark.parametrize("ends", [False, True])
-def test_what_has_come_counts_after_the_deadline(pair: Pair, ends: bool) -> None:
-    near, far = pair
-    if ends:
-        far.close()
+@pytest.mark.parametrize("closed", [False, True])
+def test_received_data_is_read_after_deadline(pair: Pair, closed: bool) -> None:
+    local, remote = pair
+    if closed:
+        remote.close()
     else:
-        far.sendall(b"late")
-    assert receive_before(near, Buffer(), time.monotonic() - 1.0) == (0 if ends else 4)
+        remote.sendall(b"late")
+    assert receive_before(local, Buffer(), time.monotonic() - 1.0) == (0 if closed else 4)
 
 
-def test_what_came_during_a_standstill_counts_though_its_timeout_fires_first(
+def test_data_received_while_suspended_is_read_though_timeout_fires_first(
     pair: Pair, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    near, far = pair
+    local, remote = pair
     buffer, receive = Buffer(), Buffer.receive
     deadline = time.monotonic() + 0.05
 
-    def stand_still(buffer: Buffer, source: Any) -> int:
+    def suspend(buffer: Buffer, source: Any) -> int:
         monkeypatch.setattr(Buffer, "receive", receive)
-        far.sendall(b"late")
+        remote.sendall(b"late")
         time.sleep(max(0.0, deadline - time.monotonic()))
         raise TimeoutError
 
-    monkeypatch.setattr(Buffer, "receive", stand_still)
-    assert receive_before(near, buffer, deadline) == 4
+    monkeypatch.setattr(Buffer, "receive", suspend)
+    assert receive_before(local, buffer, deadline) == 4
     assert buffer.take(4) == b"late"
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -26,9 +26,9 @@
     node_and_platform,
 )
 
-LINE = b"POST /safe HTTP/1.1\r\n"
+REQUEST_LINE = b"POST /safe HTTP/1.1\r\n"
 HEAD = message_request("m1", body=b"").replace(b"Content-Length: 0\r\n\r\n", b"")
-UNFRAMED = [
+FRAMING_ERRORS = [
     HEAD + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     HEAD + b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
     HEAD + b"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
@@ -40,7 +40,7 @@
     HEAD + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n",
     HEAD + b"Transfer-Encoding: chunked\r\n\r\nfffffffffffffffffff\r\n\r\n",
 ]
-FRAMED = [
+INVALID_HEADERS = [
     message_request("m1", X_Timeout="1_0"),
     message_request("m1", X_Timeout="-1"),
     message_request("m1", X_Timeout="1e3"),
@@ -53,9 +53,9 @@
 ]
 
 
-def test_what_cannot_be_framed_is_answered_and_the_connection_ends(tmp_path: Path) -> None:
+def test_framing_error_is_answered_and_connection_closed(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint()) as (node, _):
-        for data in UNFRAMED:
+        for data in FRAMING_ERRORS:
             client = node.connect()
             client.send(data)
             assert client.read_response().status == 400, data
@@ -64,10 +64,10 @@
         assert node.counters().get("received", 0) == 0
 
 
-def test_values_that_say_nothing_are_answered_and_the_connection_goes_on(tmp_path: Path) -> None:
+def test_invalid_header_is_answered_and_connection_stays_open(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint()) as (node, _):
         client = node.connect()
-        for data in FRAMED:
+        for data in INVALID_HEADERS:
             client.send(data)
             assert client.read_response().status == 400, data
         assert node.counters().get("received", 0) == 0
@@ -76,34 +76,34 @@
         client.close()
 
 
-def test_trailers_say_nothing_anew() -> None:
+def test_trailers_are_ignored() -> None:
     reader, buffer = http.RequestReader(), Buffer()
 
-    class Source:
+    class ByteSource:
         def recv_into(self, space: memoryview, /) -> int:
             data = (
-                LINE + b"X-Request-ID: m1\r\nTransfer-Encoding: chunked\r\n\r\n"
+                REQUEST_LINE + b"X-Request-ID: m1\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"2\r\nab\r\n0\r\nX-Request-ID: m2\r\nX-More: 1\r\n\r\n"
             )
             space[: len(data)] = data
             return len(data)
 
-    buffer.receive(Source())
+    buffer.receive(ByteSource())
     request = reader.advance(buffer)
     assert request is not None
     assert bytes(request.body) == b"ab"
     assert request.headers == {"x-request-id": "m1", "transfer-encoding": "chunked"}
 
 
-def test_a_destination_that_no_list_knows_is_not_taken_on(tmp_path: Path) -> None:
-    partner = ScriptedEndpoint()
-    with node_and_platform(tmp_path, partner) as (node, platform):
+def test_message_to_unknown_destination_is_rejected(tmp_path: Path) -> None:
+    endpoint = ScriptedEndpoint()
+    with node_and_platform(tmp_path, endpoint) as (node, platform):
         assert node.submit("m1", X_Consignee="dest=77").status == 404
         assert node.submit("m2").status == 202
         assert "m1" not in str(platform.notices)
 
 
-def test_a_body_beyond_all_limits_is_read_away_so_that_its_answer_is_heard(tmp_path: Path) -> None:
+def test_oversized_body_is_discarded_so_that_answer_arrives(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint()) as (node, _):
         client = node.connect()
         client.send(
@@ -115,116 +115,118 @@
         assert node.submit("m2").status == 202
 
 
-def test_silence_and_half_a_request_are_ended(tmp_path: Path) -> None:
+def test_silent_and_incomplete_requests_time_out(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint()) as (node, _):
-        silent, half, dripping = node.connect(), node.connect(), node.connect()
-        half.send(message_request("m1")[:40])
-        dripping.send(LINE)
+        silent, partial, dripping = node.connect(), node.connect(), node.connect()
+        partial.send(message_request("m1")[:40])
+        dripping.send(REQUEST_LINE)
         with contextlib.suppress(OSError):
             for _ in range(200):  # ends at the first reset
                 dripping.send(b"X-Drip: 1\r\n")
                 time.sleep(0.02)
         assert silent.is_closed()
-        assert half.read_response().status == 408
+        assert partial.read_response().status == 408
         assert dripping.read_response().status == 408
-        for client in (silent, half, dripping):
+        for client in (silent, partial, dripping):
             client.close()
 
 
 @contextlib.contextmanager
-def small_intake(most: int) -> Iterator[tuple[Intake, list[Submission]]]:
+def small_intake(max_connections: int) -> Iterator[tuple[Intake, list[Submission]]]:
     """Room for few clients; what they hand in is kept unanswered."""
-    arrivals: list[Submission] = []
-    part = Intake(("127.0.0.1", 0), read(Reader(SETTINGS)), arrivals.append, Counters(), most)
-    part.start()
-    yield part, arrivals
-    part.close()
+    submissions: list[Submission] = []
+    listening_intake = Intake(
+        ("127.0.0.1", 0), read(Reader(SETTINGS)), submissions.append, Counters(), max_connections
+    )
+    listening_intake.start()
+    yield listening_intake, submissions
+    listening_intake.close()
 
 
-def connected(part: Intake, data: bytes = b"") -> "gevent_socket.socket":
-    client = gevent_socket.create_connection(part.address, timeout=20.0)
+def connect(listening_intake: Intake, data: bytes = b"") -> "gevent_socket.socket":
+    client = gevent_socket.create_connection(listening_intake.address, timeout=20.0)
     client.sendall(data)
     gevent.sleep(0.05)
     return client
 
 
-def test_silent_clients_make_room_for_one_that_asks(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_clients_are_evicted_for_requesting_client(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(intake, "WHOLE_BY", 1e6)
-    with small_intake(4) as (part, arrivals):
-        silent = [connected(part) for _ in range(4)]
+    with small_intake(4) as (listening_intake, submissions):
+        silent = [connect(listening_intake) for _ in range(4)]
         gevent.sleep(intake._Phase.FRESH.value)
-        asking = connected(part, message_request("m1"))
-        assert [arrival.id for arrival in arrivals] == ["m1"]
+        requesting = connect(listening_intake, message_request("m1"))
+        assert [submission.id for submission in submissions] == ["m1"]
         assert silent[0].recv(1) == b""
-        for client in (*silent, asking):
+        for client in (*silent, requesting):
             client.close()
 
 
-def test_clients_that_ask_once_and_stay_make_room_however_fast_they_come() -> None:
-    with small_intake(2) as (part, arrivals):
+def test_idle_clients_are_evicted_however_fast_others_connect() -> None:
+    with small_intake(2) as (listening_intake, submissions):
         clients = []
         for number in range(8):
-            clients.append(connected(part, message_request(f"m{number}")))
-            arrivals[-1].client.answer(HTTPStatus.ACCEPTED)
+            clients.append(connect(listening_intake, message_request(f"m{number}")))
+            submissions[-1].client.answer(HTTPStatus.ACCEPTED)
             assert clients[-1].recv(65536).startswith(b"HTTP/1.1 202 ")
-        assert [arrival.id for arrival in arrivals] == [f"m{number}" for number in range(8)]
+        assert [submission.id for submission in submissions] == [f"m{number}" for number in range(8)]
         assert clients[0].recv(1) == b""
         for client in clients:
             client.close()
 
 
-def test_a_client_whose_request_is_in_hand_is_not_cut_off_and_the_next_is_told_so() -> None:
-    with small_intake(2) as (part, arrivals):
-        waiting = [connected(part, message_request(f"m{n}")) for n in range(2)]
-        late = connected(part, message_request("m2"))
+def test_client_waiting_for_answer_is_not_evicted_and_next_gets_503() -> None:
+    with small_intake(2) as (listening_intake, submissions):
+        waiting = [connect(listening_intake, message_request(f"m{n}")) for n in range(2)]
+        late = connect(listening_intake, message_request("m2"))
         assert late.recv(65536).startswith(b"HTTP/1.1 503 ")
-        assert [arrival.id for arrival in arrivals] == ["m0", "m1"]
-        for arrival, client in zip(arrivals, waiting, strict=True):
-            arrival.client.answer(HTTPStatus.ACCEPTED)
+        assert [submission.id for submission in submissions] == ["m0", "m1"]
+        for submission, client in zip(submissions, waiting, strict=True):
+            submission.client.answer(HTTPStatus.ACCEPTED)
             assert client.recv(65536).startswith(b"HTTP/1.1 202 ")
         for client in (*waiting, late):
             client.close()
 
 
-def test_a_flood_of_one_connection_leaves_the_others_their_turn() -> None:
-    with small_intake(10) as (part, arrivals):
-        flood = connected(part, message_request("m1", X_Timeout="no") * 2000)
-        connected(part, message_request("m2")).close()
-        assert [arrival.id for arrival in arrivals] == ["m2"]
-        assert part.counters.snapshot()["malformed"] < 2000
+def test_flood_on_one_connection_does_not_starve_others() -> None:
+    with small_intake(10) as (listening_intake, submissions):
+        flood = connect(listening_intake, message_request("m1", X_Timeout="no") * 2000)
+        connect(listening_intake, message_request("m2")).close()
+        assert [submission.id for submission in submissions] == ["m2"]
+        assert listening_intake.counters.snapshot()["malformed"] < 2000
         flood.close()
 
 
-def test_an_address_that_answers_nothing_does_not_take_the_platform_with_it(tmp_path: Path) -> None:
+def test_silent_clients_leave_descriptors_for_platform(tmp_path: Path) -> None:
     """The doorway full of silence: the list and notices still have their descriptors."""
-    partner = ScriptedEndpoint()
-    with node_and_platform(tmp_path, partner, sockets=100) as (node, _):
-        crowd = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
+    endpoint = ScriptedEndpoint()
+    with node_and_platform(tmp_path, endpoint, sockets=100) as (node, _):
+        idle_clients = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
         assert eventually(lambda: node.submit("m1").status == 202)
         eventually(lambda: node.counters().get("delivered") == 1)
-        for client in crowd:
+        for client in idle_clients:
             client.close()
 
 
-def test_idle_clients_up_to_the_limit_while_discovery_is_dead_and_back(tmp_path: Path) -> None:
+def test_idle_clients_at_limit_while_discovery_restarts(tmp_path: Path) -> None:
     """A message is still delivered, the node still says that it is there, and the list is followed again."""
     old, new = ScriptedEndpoint(), ScriptedEndpoint()
     with node_and_platform(tmp_path, old, sockets=100) as (node, platform):
         eventually(lambda: platform.watchers)
-        crowd = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
+        idle_clients = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
         platform.close()
         eventually(lambda: '"event": "list_call_failed"' in node.log.read_text())
-        crowd += [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
+        idle_clients += [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
         assert eventually(lambda: node.submit("m1").status == 202)
         eventually(lambda: old.calls_with("m1"))
         assert eventually(node.is_healthy)
-        back = ScriptedPlatform(platform.port)
-        back.revision = 9
-        back.add_member(old, 1, phase="DRAINING")
-        back.add_member(new, 2, cell=1)
-        eventually(lambda: back.watchers, "a watch on the service that is back")
+        restarted_platform = ScriptedPlatform(platform.port)
+        restarted_platform.revision = 9
+        restarted_platform.add_member(old, 1, phase="DRAINING")
+        restarted_platform.add_member(new, 2, cell=1)
+        eventually(lambda: restarted_platform.watchers, "a watch on the service that is back")
         eventually(lambda: node.submit(f"m{time.monotonic()}").status == 202 and new.requests)
-        for client in crowd:
+        for client in idle_clients:
             client.close()
-        back.close()
+        restarted_platform.close()
     new.close()
--- a/tests/test_node_gossip.py
+++ b/tests/test_node_gossip.py
@@ -17,7 +17,7 @@
     node_and_platform,
 )
 
-TELLS = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "mayTell": True}}
+GOSSIP_SETTINGS = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "mayTell": True}}
 
 
 @contextlib.contextmanager
@@ -30,7 +30,7 @@
         nodes.append(Node(folder / name, platform))
     for node, other in (nodes, nodes[::-1]):
         node.config_data |= {
-            "settings": TELLS,
+            "settings": GOSSIP_SETTINGS,
             "peers": [f"127.0.0.1:{other.port}", f"127.0.0.1:{free_port()}"],
         }
     try:
@@ -43,27 +43,27 @@
         endpoint.close()
 
 
-def test_a_failure_and_the_success_after_it_reach_the_other_node(tmp_path: Path) -> None:
-    with two_nodes(tmp_path, ScriptedEndpoint(http_response(500), http_response(200))) as (one, other):
-        one.submit("m1")
-        eventually(lambda: one.counters().get("delivered") == 1, "the second attempt")
+def test_failure_and_later_success_reach_other_node(tmp_path: Path) -> None:
+    with two_nodes(tmp_path, ScriptedEndpoint(http_response(500), http_response(200))) as (first, other):
+        first.submit("m1")
+        eventually(lambda: first.counters().get("delivered") == 1, "the second attempt")
         eventually(lambda: other.counters().get("notes_heard") == 2, "both notes")
-        assert one.counters()["notes_told"] + one.counters().get("notes_untold", 0) == 4
+        assert first.counters()["notes_told"] + first.counters().get("notes_untold", 0) == 4
 
 
-def test_strange_notes_are_counted_and_the_node_goes_on(tmp_path: Path) -> None:
+def test_unexpected_datagrams_are_counted_and_node_keeps_running(tmp_path: Path) -> None:
     with (
-        two_nodes(tmp_path, ScriptedEndpoint()) as (one, _),
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+        two_nodes(tmp_path, ScriptedEndpoint()) as (first, _),
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender,
     ):
         for data in (b"", b"F\x01", b"x" * 5000):
-            stranger.sendto(data, ("127.0.0.1", one.port))
-        eventually(lambda: one.counters().get("notes_strange") == 3, "three strange notes")
-        one.submit("m1")
-        eventually(lambda: one.counters().get("delivered") == 1, "a delivery")
+            unknown_sender.sendto(data, ("127.0.0.1", first.port))
+        eventually(lambda: first.counters().get("notes_strange") == 3, "three strange notes")
+        first.submit("m1")
+        eventually(lambda: first.counters().get("delivered") == 1, "a delivery")
 
 
-def test_a_node_that_watches_tells_nobody_and_counts_by_kind(tmp_path: Path) -> None:
+def test_trial_settings_send_no_gossip_and_count_divergences(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint(http_response(500), http_response(200))) as (node, _):
         node.kill()
         node.config_data["watch"] = {"allowed": {"mayTell": True}, "balancers": 40}
@@ -75,7 +75,7 @@
         assert "notes_told" not in counters
 
 
-def test_a_bad_watch_at_sighup_is_a_line_in_the_log_and_changes_nothing(tmp_path: Path) -> None:
+def test_invalid_trial_settings_at_sighup_are_logged_and_ignored(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint()) as (node, _):
         node.config_data["watch"] = {"az": 9}
         node.reload_config()
