--- a/tests/node/test_notices.py
+++ b/tests/node/test_notices.py
@@ -1,4 +1,4 @@
-"""Notices to a platform whose answer is late, cut or endless."""
+"""Notices to a platform whose response is late, incomplete or endless."""
 
 import time
 from contextlib import suppress
@@ -15,18 +15,18 @@
 from tests.test_node_parts import add_message
 
 NOTICE_DUE_S = 0.35
-"""Seconds after a message's time in which its notice has to come."""
+"""Seconds after a message's deadline within which its notice must arrive."""
 SUSPENSION_S = 0.15
-"""Seconds for which the node may be held up meanwhile."""
+"""Seconds for which the node may be suspended meanwhile."""
 UNFINISHED_RESPONSES = {
     "nothing": b"",
-    "half a line": b"HTTP/1.1 20",
-    "a head without end": b"HTTP/1.1 204 No Content\r\nX: ",
+    "incomplete status line": b"HTTP/1.1 20",
+    "incomplete headers": b"HTTP/1.1 204 No Content\r\nX: ",
 }
 
 
 @pytest.mark.parametrize("response", UNFINISHED_RESPONSES.values(), ids=UNFINISHED_RESPONSES)
-@pytest.mark.parametrize("trickles", [False, True], ids=["then silence", "then a trickle"])
+@pytest.mark.parametrize("trickles", [False, True], ids=["then nothing", "then single bytes"])
 def test_unfinished_response_does_not_block_notices(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, response: bytes, trickles: bool
 ) -> None:
@@ -38,7 +38,7 @@
         sender = NoticeSender(server.getsockname(), store, Counters())
         worker = gevent.spawn(sender.run)
         sender.add(store.entries[1])
-        with gevent.Timeout(20.0, AssertionError("not told anew")):
+        with gevent.Timeout(20.0, AssertionError("the notice was not sent again")):
             first, _ = server.accept()
             first.sendall(response)
 
@@ -61,7 +61,7 @@
 
 
 def test_silent_connection_does_not_delay_notice(tmp_path: Path) -> None:
-    """A notice is due 0.3 s after its message's time, and the connection was kept from the notice before."""
+    """A notice is due 0.3 s after its message's deadline; the silent connection is a reused one."""
     store = Store(tmp_path, 3_000_000, 1000.0)
     for number in (1, 2):
         add_message(store, number)
@@ -76,7 +76,7 @@
         wait_until(lambda: sender.idle)
         added_at = time.monotonic()
         sender.add(store.entries[2])
-        with gevent.Timeout(20.0, AssertionError("not told anew")):
+        with gevent.Timeout(20.0, AssertionError("the notice was not sent again")):
             second, _ = server.accept()
             assert b'{"ref": "m2", "result": "dead"}' in second.recv(65536)
         notified_after = time.monotonic() - added_at
@@ -87,7 +87,7 @@
 
 
 def test_failed_requests_do_not_lengthen_timeout(tmp_path: Path) -> None:
-    """A platform that is away for a while refuses at once; that says nothing of how long answers take."""
+    """A platform that is down fails requests at once, which says nothing about its response time."""
     store = Store(tmp_path, 3_000_000, 1000.0)
     add_message(store, 1)
     store.write([store.finish(1, "dead")], 1000.0)
@@ -102,7 +102,7 @@
         silent, _ = server.accept()
         assert silent.recv(65536)
         silent_at = time.monotonic()
-        with gevent.Timeout(20.0, AssertionError("not told anew")):
+        with gevent.Timeout(20.0, AssertionError("the notice was not sent again")):
             second, _ = server.accept()
         notified_after = time.monotonic() - silent_at
         worker.kill()
--- a/tests/node/test_objects.py
+++ b/tests/node/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects out of a stream, wherever it is cut."""
+"""JSON objects are extracted from a stream wherever reads split it."""
 
 import json
 
@@ -8,9 +8,9 @@
 
 OBJECTS = [{"revision": 1, "members": [{"id": 'a}"{[\\', "x": {}}]}, {}, {"é": ['\\"', "]"]}]
 LAYOUTS = {
-    "a line each": "\n".join(json.dumps(obj) for obj in OBJECTS) + "\n",
+    "one per line": "\n".join(json.dumps(obj) for obj in OBJECTS) + "\n",
     "indented": "\n\n".join(json.dumps(obj, indent=2) for obj in OBJECTS) + "\r\n",
-    "without a gap": "".join(json.dumps(obj, ensure_ascii=False) for obj in OBJECTS),
+    "without separators": "".join(json.dumps(obj, ensure_ascii=False) for obj in OBJECTS),
 }
 
 
--- a/tests/node/test_sockets.py
+++ b/tests/node/test_sockets.py
@@ -1,4 +1,4 @@
-"""Reading from a connection by a deadline."""
+"""Reading from a connection until a deadline."""
 
 import time
 from collections.abc import Iterator
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -1,4 +1,4 @@
-"""What endpoints send that is no answer, or more than one; and endpoints that replace each other."""
+"""Malformed and extra responses of endpoints, and endpoints that are replaced at the same address."""
 
 import socket
 from pathlib import Path
@@ -62,13 +62,13 @@
         for number, delivered in ((1, 1), (2, 2)):
             node.submit(f"m{number}", "unsafe")
             wait_for_count(node, "delivered", delivered)
-        node.submit("m3", "unsafe")  # the second copy of the answer before is not taken for its own
+        node.submit("m3", "unsafe")  # must not take the previous response's second copy for its own
         assert eventually(lambda: platform.notice_for("m3"))["result"] == "dead"
         assert endpoint.connection_count == 2
 
 
 class UnfinishedResponseEndpoint(ScriptedEndpoint):
-    """Begins an answer and leaves it unfinished."""
+    """Starts a response and never finishes it."""
 
     def reply(self, connection: socket.socket, request: http.Message) -> None:
         connection.sendall(b"HTTP/1.1 503 Busy\r\nX-More")
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -1,4 +1,4 @@
-"""Clients that behave badly get an error or a close, nothing of theirs is taken on, and the others go on."""
+"""Misbehaving clients get an error or a close, their messages are not accepted, other clients are served."""
 
 import contextlib
 import socket
@@ -108,7 +108,7 @@
         client = node.connect()
         client.send(
             message_request("m1", body=bytes(30_000_000))
-        )  # all of it, before the answer is looked for
+        )  # sent completely before the answer is read
         assert client.read_response().status == 413
         assert client.is_closed()
         client.close()
@@ -133,7 +133,7 @@
 
 @contextlib.contextmanager
 def small_intake(max_connections: int) -> Iterator[tuple[Intake, list[Submission]]]:
-    """Room for few clients; what they hand in is kept unanswered."""
+    """An intake with room for few connections; submitted messages are collected and left unanswered."""
     submissions: list[Submission] = []
     listening_intake = Intake(
         ("127.0.0.1", 0), read(Reader(SETTINGS)), submissions.append, Counters(), max_connections
@@ -198,7 +198,7 @@
 
 
 def test_silent_clients_leave_descriptors_for_platform(tmp_path: Path) -> None:
-    """The doorway full of silence: the list and notices still have their descriptors."""
+    """Silent clients take all connections of the intake; the list and notices still get descriptors."""
     endpoint = ScriptedEndpoint()
     with node_and_platform(tmp_path, endpoint, sockets=100) as (node, _):
         idle_clients = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(200)]
@@ -209,7 +209,7 @@
 
 
 def test_idle_clients_at_limit_while_discovery_restarts(tmp_path: Path) -> None:
-    """A message is still delivered, the node still says that it is there, and the list is followed again."""
+    """Messages are still delivered, the node stays healthy, and it follows the list again."""
     old, new = ScriptedEndpoint(), ScriptedEndpoint()
     with node_and_platform(tmp_path, old, sockets=100) as (node, platform):
         eventually(lambda: platform.watchers)
@@ -224,7 +224,7 @@
         restarted_platform.revision = 9
         restarted_platform.add_member(old, 1, phase="DRAINING")
         restarted_platform.add_member(new, 2, cell=1)
-        eventually(lambda: restarted_platform.watchers, "a watch on the service that is back")
+        eventually(lambda: restarted_platform.watchers, "a watch at the restarted platform")
         eventually(lambda: node.submit(f"m{time.monotonic()}").status == 202 and new.requests)
         for client in idle_clients:
             client.close()
--- a/tests/test_node_gossip.py
+++ b/tests/test_node_gossip.py
@@ -1,4 +1,4 @@
-"""Notes between nodes, and the mode that watches, on real processes and loopback sockets."""
+"""Gossip between nodes, and trial settings, with real processes on loopback sockets."""
 
 import contextlib
 import socket
@@ -47,7 +47,7 @@
     with two_nodes(tmp_path, ScriptedEndpoint(http_response(500), http_response(200))) as (first, other):
         first.submit("m1")
         eventually(lambda: first.counters().get("delivered") == 1, "the second attempt")
-        eventually(lambda: other.counters().get("notes_heard") == 2, "both notes")
+        eventually(lambda: other.counters().get("notes_heard") == 2, "both datagrams")
         assert first.counters()["notes_told"] + first.counters().get("notes_untold", 0) == 4
 
 
@@ -58,7 +58,7 @@
     ):
         for data in (b"", b"F\x01", b"x" * 5000):
             unknown_sender.sendto(data, ("127.0.0.1", first.port))
-        eventually(lambda: first.counters().get("notes_strange") == 3, "three strange notes")
+        eventually(lambda: first.counters().get("notes_strange") == 3, "three unexpected datagrams")
         first.submit("m1")
         eventually(lambda: first.counters().get("delivered") == 1, "a delivery")
 
