--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -35,36 +35,36 @@
     node_and_platform,
 )
 
-REFUSED = (503, "close")
+REJECTED = (503, "close")
 
 
 @contextmanager
-def doorway(says: list[HTTPStatus | None]) -> Iterator[tuple[Intake, list[Submission]]]:
+def intake_answering(answers: list[HTTPStatus | None]) -> Iterator[tuple[Intake, list[Submission]]]:
     """An intake whose requests are answered at once with what stands there, or kept."""
-    arrivals: list[Submission] = []
+    submissions: list[Submission] = []
 
-    def post(arrival: Submission) -> None:
-        arrivals.append(arrival)
-        if (answer := says[0]) is not None:
-            arrival.client.answer(answer)
+    def post(submission: Submission) -> None:
+        submissions.append(submission)
+        if (answer := answers[0]) is not None:
+            submission.client.answer(answer)
 
-    part = Intake(("127.0.0.1", 0), read(Reader(SETTINGS)), post, Counters(), 10)
-    part.start()
-    yield part, arrivals
-    part.close()
+    listening_intake = Intake(("127.0.0.1", 0), read(Reader(SETTINGS)), post, Counters(), 10)
+    listening_intake.start()
+    yield listening_intake, submissions
+    listening_intake.close()
 
 
-def client_of(part: Intake, data: bytes, phase: intake._Phase) -> gevent_socket.socket:
+def client_in_phase(listening_intake: Intake, data: bytes, phase: intake._Phase) -> gevent_socket.socket:
     """A client whose connection has come to a phase; what it was answered so far is read."""
-    client = gevent_socket.create_connection(part.address)
+    client = gevent_socket.create_connection(listening_intake.address)
     client.sendall(data)
-    wait_until(lambda: any(c.phase is phase for c in part._connections.values()), phase.name)
+    wait_until(lambda: any(c.phase is phase for c in listening_intake._connections.values()), phase.name)
     if phase is intake._Phase.IDLE:
         assert b" 202 " in client.recv(65536)
     return client
 
 
-def answers(data: bytes) -> list[tuple[int, str]]:
+def parse_answers(data: bytes) -> list[tuple[int, str]]:
     """The status and the `Connection` of each answer; all must be whole."""
     found = []
     while data:
@@ -79,19 +79,19 @@
     return found
 
 
-CROSSING = message_request("m2")
+REQUEST = message_request("m2")
 
 
 @pytest.mark.parametrize(
-    ("before", "phase", "at_once", "later", "heard"),
+    ("initial", "phase", "immediate", "later", "expected"),
     [
-        (b"", intake._Phase.FRESH, b"", CROSSING, [REFUSED]),
-        (b"", intake._Phase.FRESH, CROSSING, b"", [REFUSED]),
-        (CROSSING[:30], intake._Phase.READING, b"", CROSSING[30:], [REFUSED]),
-        (CROSSING[:-1], intake._Phase.READING, CROSSING[-1:], b"", [REFUSED]),
+        (b"", intake._Phase.FRESH, b"", REQUEST, [REJECTED]),
+        (b"", intake._Phase.FRESH, REQUEST, b"", [REJECTED]),
+        (REQUEST[:30], intake._Phase.READING, b"", REQUEST[30:], [REJECTED]),
+        (REQUEST[:-1], intake._Phase.READING, REQUEST[-1:], b"", [REJECTED]),
         (message_request("m1"), intake._Phase.IDLE, b"", b"", []),
-        (message_request("m1"), intake._Phase.IDLE, CROSSING, b"", [REFUSED]),
-        (message_request("m1"), intake._Phase.IDLE, CROSSING[:30], CROSSING[30:], [REFUSED]),
+        (message_request("m1"), intake._Phase.IDLE, REQUEST, b"", [REJECTED]),
+        (message_request("m1"), intake._Phase.IDLE, REQUEST[:30], REQUEST[30:], [REJECTED]),
     ],
     ids=[
         "connected",
@@ -103,57 +103,59 @@
         "at rest, begins that moment",
     ],
 )
-def test_at_the_drain_each_request_is_answered_once_and_the_connection_ends(
-    before: bytes, phase: intake._Phase, at_once: bytes, later: bytes, heard: list[tuple[int, str]]
+def test_drain_answers_each_request_once_and_closes_connection(
+    initial: bytes, phase: intake._Phase, immediate: bytes, later: bytes, expected: list[tuple[int, str]]
 ) -> None:
     """What comes in the same moment lies in the system's hands; the node has not read it yet."""
-    kept: list[HTTPStatus | None] = [HTTPStatus.ACCEPTED]
-    with doorway(kept) as (part, arrivals):
-        client = client_of(part, before, phase)
-        client.sendall(at_once)
-        kept[0] = HTTPStatus.SERVICE_UNAVAILABLE  # as once the node refuses
-        part.drain()
+    answers: list[HTTPStatus | None] = [HTTPStatus.ACCEPTED]
+    with intake_answering(answers) as (listening_intake, submissions):
+        client = client_in_phase(listening_intake, initial, phase)
+        client.sendall(immediate)
+        answers[0] = HTTPStatus.SERVICE_UNAVAILABLE  # as once the node refuses
+        listening_intake.drain()
         gevent.sleep(0)
         with suppress(OSError):
             client.sendall(later)
-        assert answers(read_to_end(client)) == heard
-        wait_until(lambda: part.no_clients)
-        assert len(arrivals) <= 1 + (phase is not intake._Phase.IDLE)
+        assert parse_answers(read_to_end(client)) == expected
+        wait_until(lambda: listening_intake.no_clients)
+        assert len(submissions) <= 1 + (phase is not intake._Phase.IDLE)
 
 
-def test_a_request_in_hand_at_the_drain_gets_its_answer_and_hears_that_it_is_the_last() -> None:
-    with doorway([None]) as (part, arrivals):
-        client = client_of(part, message_request("m1"), intake._Phase.WAITING)
-        part.drain()
+def test_request_in_progress_at_drain_gets_answer_with_connection_close() -> None:
+    with intake_answering([None]) as (listening_intake, submissions):
+        client = client_in_phase(listening_intake, message_request("m1"), intake._Phase.WAITING)
+        listening_intake.drain()
         gevent.sleep(0)
-        assert not part.no_clients
-        arrivals[0].client.answer(HTTPStatus.ACCEPTED)
-        assert answers(read_to_end(client)) == [(202, "close")]
+        assert not listening_intake.no_clients
+        submissions[0].client.answer(HTTPStatus.ACCEPTED)
+        assert parse_answers(read_to_end(client)) == [(202, "close")]
 
 
 @pytest.mark.parametrize("phase", [intake._Phase.IDLE, intake._Phase.FRESH])
-def test_a_request_that_crosses_the_close_of_a_connection_at_rest_is_not_taken_on(
+def test_request_arriving_while_idle_connection_is_evicted_is_rejected(
     monkeypatch: pytest.MonkeyPatch, phase: intake._Phase
 ) -> None:
     """Its client hands it in again on a new connection: taken on as well, it would be sent twice."""
     monkeypatch.setattr(intake._Phase.FRESH, "_value_", 0.0)
-    with doorway([HTTPStatus.ACCEPTED]) as (part, arrivals):
-        client = client_of(part, message_request("m1") if phase is intake._Phase.IDLE else b"", phase)
-        client.sendall(CROSSING)
-        assert part._make_room()
-        assert answers(read_to_end(client)) == [REFUSED]
-        assert "m2" not in [arrival.id for arrival in arrivals]
-
-
-def test_connections_that_the_system_has_let_in_are_answered_after_the_close() -> None:
-    with doorway([HTTPStatus.SERVICE_UNAVAILABLE]) as (part, arrivals):
-        address = part.address
+    with intake_answering([HTTPStatus.ACCEPTED]) as (listening_intake, submissions):
+        client = client_in_phase(
+            listening_intake, message_request("m1") if phase is intake._Phase.IDLE else b"", phase
+        )
+        client.sendall(REQUEST)
+        assert listening_intake._make_room()
+        assert parse_answers(read_to_end(client)) == [REJECTED]
+        assert "m2" not in [submission.id for submission in submissions]
+
+
+def test_connections_in_backlog_are_answered_after_close() -> None:
+    with intake_answering([HTTPStatus.SERVICE_UNAVAILABLE]) as (listening_intake, submissions):
+        address = listening_intake.address
         early = [socket.create_connection(address) for _ in range(40)]  # nothing else runs meanwhile
         for number, client in enumerate(early):
             client.sendall(message_request(f"m{number}"))
-        part.drain()
-        part.close()
-        wait_until(lambda: len(arrivals) == len(early), "all of them")
+        listening_intake.drain()
+        listening_intake.close()
+        wait_until(lambda: len(submissions) == len(early), "all of them")
         for client in early:
             with client:
                 assert client.recv(65536).startswith(b"HTTP/1.1 503 ")
@@ -161,23 +163,23 @@
             socket.create_connection(address)
 
 
-def test_no_connection_is_let_in_between_the_last_accept_and_the_close(
+def test_no_connection_is_established_between_last_accept_and_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The system would reset it, and a request with it; one that does not come up is tried elsewhere."""
-    let_in: list[socket.socket] = []
+    accepted: list[socket.socket] = []
     accept_backlog = _Listener.accept_backlog
 
-    def then_a_client_comes(listener: _Listener) -> None:
+    def accept_backlog_then_connect(listener: _Listener) -> None:
         accept_backlog(listener)
         with suppress(OSError):
-            let_in.append(socket.create_connection(part.address, timeout=0.2))
+            accepted.append(socket.create_connection(listening_intake.address, timeout=0.2))
 
-    monkeypatch.setattr(_Listener, "accept_backlog", then_a_client_comes)
-    with doorway([HTTPStatus.SERVICE_UNAVAILABLE]) as (part, _):
-        part.drain()
-        part.close()
-        for client in let_in:
+    monkeypatch.setattr(_Listener, "accept_backlog", accept_backlog_then_connect)
+    with intake_answering([HTTPStatus.SERVICE_UNAVAILABLE]) as (listening_intake, _):
+        listening_intake.drain()
+        listening_intake.close()
+        for client in accepted:
             with client:
                 client.sendall(message_request("m1"))
                 assert client.recv(65536).startswith(b"HTTP/1.1 503 ")
@@ -187,8 +189,8 @@
 
 
 @contextmanager
-def node_here(
-    folder: Path, platform: ScriptedPlatform
+def node_in_process(
+    directory: Path, platform: ScriptedPlatform
 ) -> Iterator[tuple[Service, Event, Event, tuple[str, int]]]:
     """A whole node in this process."""
     address = ("127.0.0.1", free_port())
@@ -201,90 +203,90 @@
         "known": platform.document(),
         "settings": SETTINGS,
     }
-    state = folder / "state"
+    state = directory / "state"
     state.mkdir()
-    (folder / "config.json").write_text(json.dumps(config))
-    stop, reread = Event(), Event()
-    environment = {"RELAY_CONFIG": str(folder / "config.json"), "RELAY_STATE": str(state)}
-    yield Service(load(environment), stop, reread), stop, reread, address
+    (directory / "config.json").write_text(json.dumps(config))
+    stop, reload = Event(), Event()
+    environment = {"RELAY_CONFIG": str(directory / "config.json"), "RELAY_STATE": str(state)}
+    yield Service(load(environment), stop, reload), stop, reload, address
     platform.close()
 
 
-@pytest.mark.parametrize("half", [b"", CROSSING[:30]], ids=["has yet to ask", "is in the middle of it"])
-def test_the_node_does_not_end_before_a_client_that_came_is_answered(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, half: bytes
+@pytest.mark.parametrize("received", [b"", REQUEST[:30]], ids=["has yet to ask", "is in the middle of it"])
+def test_node_does_not_exit_before_connected_client_is_answered(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, received: bytes
 ) -> None:
     monkeypatch.setattr(service, "SHUTDOWN_ACCEPT_PERIOD", 0.0)
     monkeypatch.setattr(service, "SHUTDOWN_DEADLINE", 1e6)
     monkeypatch.setattr(intake, "WHOLE_BY", 1e6)
-    with node_here(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
+    with node_in_process(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
         run = gevent.spawn(node.run)
         wait_until(lambda: node._intake._server.started)
         client = gevent_socket.create_connection(address)
-        client.sendall(half)
+        client.sendall(received)
         wait_until(lambda: len(node._intake._connections) == 1)
         stop.set()
         wait_until(lambda: node._intake.stage is Stage.CLOSED)
         for _ in range(5):  # looks at what is left
             gevent.sleep(service.SHUTDOWN_POLL_INTERVAL)
         assert not run.dead
-        client.sendall(CROSSING[len(half) :])
-        assert answers(read_to_end(client)) == [REFUSED]
+        client.sendall(REQUEST[len(received) :])
+        assert parse_answers(read_to_end(client)) == [REJECTED]
         client.close()
         assert run.get(timeout=20.0) == 0
 
 
-def test_a_client_that_stays_for_ever_does_not_keep_the_node_beyond_its_time(
+def test_client_that_stays_connected_does_not_keep_node_beyond_time_limit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service, "SHUTDOWN_ACCEPT_PERIOD", 0.0)
     monkeypatch.setattr(service, "SHUTDOWN_DEADLINE", 0.3)
     monkeypatch.setattr(intake, "WHOLE_BY", 1e6)
-    with node_here(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
+    with node_in_process(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
         run = gevent.spawn(node.run)
         wait_until(lambda: node._intake._server.started)
         with gevent_socket.create_connection(address) as client:
-            client.sendall(CROSSING[:30])
+            client.sendall(REQUEST[:30])
             wait_until(lambda: len(node._intake._connections) == 1)
             stop.set()
             assert run.get(timeout=20.0) == 0
 
 
-def test_a_signal_to_end_before_the_node_serves_has_it_end_in_order(tmp_path: Path) -> None:
+def test_stop_signal_before_serving_ends_node_gracefully(tmp_path: Path) -> None:
     """Who comes meanwhile hears that nothing is taken on."""
-    with node_here(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
+    with node_in_process(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
         stop.set()
         run = gevent.spawn(node.run)
         wait_until(lambda: node._intake._server.started)
         client = gevent_socket.create_connection(address)
-        client.sendall(CROSSING)
-        assert answers(read_to_end(client)) == [REFUSED]
+        client.sendall(REQUEST)
+        assert parse_answers(read_to_end(client)) == [REJECTED]
         client.close()
         assert run.get(timeout=20.0) == 0
 
 
 @pytest.mark.parametrize("error", [RuntimeError("odd"), RecursionError(), OverflowError()])
-def test_a_file_that_fails_in_an_unheard_of_way_leaves_the_node_as_it_is(
+def test_unexpected_error_at_reload_leaves_node_running(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: Exception
 ) -> None:
-    def fails(**_: Any) -> None:
-        reread.clear()
+    def fail(**_: Any) -> None:
+        reload.clear()
         raise error
 
-    with node_here(tmp_path, ScriptedPlatform()) as (node, stop, reread, _):
+    with node_in_process(tmp_path, ScriptedPlatform()) as (node, stop, reload, _):
         run = gevent.spawn(node.run)
         wait_until(lambda: node._intake._server.started)
-        monkeypatch.setattr(service, "load", fails)
+        monkeypatch.setattr(service, "load", fail)
         for _ in range(2):  # the second is read by what outlived the first
-            reread.set()
-            wait_until(lambda: not reread.is_set())
+            reload.set()
+            wait_until(lambda: not reload.is_set())
             gevent.sleep(0)
         assert not stop.is_set()
         stop.set()
         assert run.get(timeout=20.0) == 0
 
 
-class Gate(ScriptedEndpoint):
+class GatedEndpoint(ScriptedEndpoint):
     """An endpoint that answers once it may."""
 
     def __init__(self) -> None:
@@ -296,15 +298,15 @@
         super().reply(connection, request)
 
 
-def test_signals_that_come_during_the_end_change_nothing(tmp_path: Path) -> None:
-    partner = Gate()
+def test_signals_during_shutdown_change_nothing(tmp_path: Path) -> None:
+    endpoint = GatedEndpoint()
 
     def logged(node: Node, event: str) -> Callable[[], bool]:
         return lambda: f'"event": "{event}"' in node.log.read_text()
 
-    with node_and_platform(tmp_path, partner) as (node, _):
+    with node_and_platform(tmp_path, endpoint) as (node, _):
         assert node.submit("m1", "unsafe").status == 202
-        eventually(lambda: partner.calls_with("m1"))
+        eventually(lambda: endpoint.calls_with("m1"))
         for number, event in (
             (signal.SIGTERM, "stopping"),
             (signal.SIGHUP, "configuration_taken"),
@@ -313,16 +315,16 @@
         ):
             node.process.send_signal(number)
             eventually(logged(node, event))
-        partner.open.set()
+        endpoint.open.set()
         assert node.process.wait(20.0) == 0
         text = node.log.read_text()
         assert text.count('"event": "stopping"') == text.count('"event": "stopped"') == 1
         node.start()
         eventually(lambda: node.counters().get("recovered") == 0)
-        assert len(partner.calls_with("m1")) == 1
+        assert len(endpoint.calls_with("m1")) == 1
 
 
-def test_the_last_line_of_the_log_tells_whether_clients_were_left(tmp_path: Path) -> None:
+def test_last_log_line_says_whether_clients_were_left(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _):
         assert node.terminate() == 0
         assert '"clients_left": false' in node.log.read_text()
