--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Each crossing of a request with the end of its connection, of the doorway or of the node."""
+"""Requests that arrive while their connection, the intake or the node is closing."""
 
 import json
 import signal
@@ -40,7 +40,7 @@
 
 @contextmanager
 def intake_answering(answers: list[HTTPStatus | None]) -> Iterator[tuple[Intake, list[Submission]]]:
-    """An intake whose requests are answered at once with what stands there, or kept."""
+    """An intake that answers each message at once with `answers[0]`, or not at all if that is `None`."""
     submissions: list[Submission] = []
 
     def post(submission: Submission) -> None:
@@ -55,7 +55,7 @@
 
 
 def client_in_phase(listening_intake: Intake, data: bytes, phase: intake._Phase) -> gevent_socket.socket:
-    """A client whose connection has come to a phase; what it was answered so far is read."""
+    """A client whose connection has reached a phase, with its answers so far read."""
     client = gevent_socket.create_connection(listening_intake.address)
     client.sendall(data)
     wait_until(lambda: any(c.phase is phase for c in listening_intake._connections.values()), phase.name)
@@ -65,7 +65,7 @@
 
 
 def parse_answers(data: bytes) -> list[tuple[int, str]]:
-    """The status and the `Connection` of each answer; all must be whole."""
+    """The status and the `Connection` header of each answer; fails if one is incomplete."""
     found = []
     while data:
         head, end, data = data.partition(b"\r\n\r\n")
@@ -95,23 +95,23 @@
     ],
     ids=[
         "connected",
-        "connected, asks that moment",
-        "half a request",
-        "all but a byte, that moment",
-        "at rest",
-        "at rest, asks that moment",
-        "at rest, begins that moment",
+        "connected, request arrives just then",
+        "partial request",
+        "last byte arrives just then",
+        "idle",
+        "idle, request arrives just then",
+        "idle, partial request arrives just then",
     ],
 )
 def test_drain_answers_each_request_once_and_closes_connection(
     initial: bytes, phase: intake._Phase, immediate: bytes, later: bytes, expected: list[tuple[int, str]]
 ) -> None:
-    """What comes in the same moment lies in the system's hands; the node has not read it yet."""
+    """Data sent just before the drain is in the kernel's buffer; the node has not read it yet."""
     answers: list[HTTPStatus | None] = [HTTPStatus.ACCEPTED]
     with intake_answering(answers) as (listening_intake, submissions):
         client = client_in_phase(listening_intake, initial, phase)
         client.sendall(immediate)
-        answers[0] = HTTPStatus.SERVICE_UNAVAILABLE  # as once the node refuses
+        answers[0] = HTTPStatus.SERVICE_UNAVAILABLE  # as the node answers while it drains
         listening_intake.drain()
         gevent.sleep(0)
         with suppress(OSError):
@@ -135,7 +135,7 @@
 def test_request_arriving_while_idle_connection_is_evicted_is_rejected(
     monkeypatch: pytest.MonkeyPatch, phase: intake._Phase
 ) -> None:
-    """Its client hands it in again on a new connection: taken on as well, it would be sent twice."""
+    """The client retries on a new connection; if the node also accepted this request, it would run twice."""
     monkeypatch.setattr(intake._Phase.FRESH, "_value_", 0.0)
     with intake_answering([HTTPStatus.ACCEPTED]) as (listening_intake, submissions):
         client = client_in_phase(
@@ -150,12 +150,14 @@
 def test_connections_in_backlog_are_answered_after_close() -> None:
     with intake_answering([HTTPStatus.SERVICE_UNAVAILABLE]) as (listening_intake, submissions):
         address = listening_intake.address
-        early = [socket.create_connection(address) for _ in range(40)]  # nothing else runs meanwhile
+        early = [
+            socket.create_connection(address) for _ in range(40)
+        ]  # blocking connects: no greenlet of the intake runs
         for number, client in enumerate(early):
             client.sendall(message_request(f"m{number}"))
         listening_intake.drain()
         listening_intake.close()
-        wait_until(lambda: len(submissions) == len(early), "all of them")
+        wait_until(lambda: len(submissions) == len(early), "all submissions")
         for client in early:
             with client:
                 assert client.recv(65536).startswith(b"HTTP/1.1 503 ")
@@ -166,7 +168,7 @@
 def test_no_connection_is_established_between_last_accept_and_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The system would reset it, and a request with it; one that does not come up is tried elsewhere."""
+    """The close would reset such a connection and its request; a connect that fails is retried elsewhere."""
     accepted: list[socket.socket] = []
     accept_backlog = _Listener.accept_backlog
 
@@ -192,7 +194,7 @@
 def node_in_process(
     directory: Path, platform: ScriptedPlatform
 ) -> Iterator[tuple[Service, Event, Event, tuple[str, int]]]:
-    """A whole node in this process."""
+    """A complete node in this process."""
     address = ("127.0.0.1", free_port())
     config = {
         "name": "n",
@@ -212,7 +214,7 @@
     platform.close()
 
 
-@pytest.mark.parametrize("received", [b"", REQUEST[:30]], ids=["has yet to ask", "is in the middle of it"])
+@pytest.mark.parametrize("received", [b"", REQUEST[:30]], ids=["no request yet", "partial request"])
 def test_node_does_not_exit_before_connected_client_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, received: bytes
 ) -> None:
@@ -227,7 +229,7 @@
         wait_until(lambda: len(node._intake._connections) == 1)
         stop.set()
         wait_until(lambda: node._intake.stage is Stage.CLOSED)
-        for _ in range(5):  # looks at what is left
+        for _ in range(5):  # polls of the shutdown loop
             gevent.sleep(service.SHUTDOWN_POLL_INTERVAL)
         assert not run.dead
         client.sendall(REQUEST[len(received) :])
@@ -253,7 +255,7 @@
 
 
 def test_stop_signal_before_serving_ends_node_gracefully(tmp_path: Path) -> None:
-    """Who comes meanwhile hears that nothing is taken on."""
+    """Clients that connect meanwhile are rejected."""
     with node_in_process(tmp_path, ScriptedPlatform()) as (node, stop, _, address):
         stop.set()
         run = gevent.spawn(node.run)
@@ -277,7 +279,7 @@
         run = gevent.spawn(node.run)
         wait_until(lambda: node._intake._server.started)
         monkeypatch.setattr(service, "load", fail)
-        for _ in range(2):  # the second is read by what outlived the first
+        for _ in range(2):  # the second checks that reloading survived the first
             reload.set()
             wait_until(lambda: not reload.is_set())
             gevent.sleep(0)
@@ -287,7 +289,7 @@
 
 
 class GatedEndpoint(ScriptedEndpoint):
-    """An endpoint that answers once it may."""
+    """An endpoint that answers once `open` is set."""
 
     def __init__(self) -> None:
         self.open = threading.Event()
