--- a/irisstack/node/intake.py
+++ b/irisstack/node/intake.py
@@ -26,6 +26,7 @@
 from irisstack.node.listen_filter import drop_new_connections
 
 BACKLOG = 512
+"""Length of the listening socket's accept queue."""
 ACCEPTS_PER_TURN = 16
 """Connections accepted before other greenlets run."""
 MAX_ACCEPT_PAUSE = 0.04
@@ -49,7 +50,7 @@
 LINGER_BYTES = 64 * 1024 * 1024
 """Bytes that are read and discarded then; a close over unread data sends a reset and may lose the answer."""
 MAX_HEADER_VALUE = 256
-"""Characters of an id or key in a header."""
+"""Maximum characters of an id or key in a header."""
 SECONDS_PATTERN = re.compile(r"[0-9]{1,6}(\.[0-9]{0,9})?")
 NUMBER_PATTERN = re.compile(r"[0-9]{1,9}")
 
--- a/irisstack/node/notices.py
+++ b/irisstack/node/notices.py
@@ -75,7 +75,7 @@
         status = self._post("".join(json.dumps(_notice(entry)) + "\n" for entry in batch).encode())
         if (
             status == 400 and len(batch) > 1
-        ):  # post them one by one, so that a malformed one does not block the rest
+        ):  # one is malformed: post each separately, so that the rest gets through
             acknowledged = [self._post_batch([entry]) for entry in batch]
             return all(acknowledged)
         if status == 400:
--- a/tests/test_node_gossip.py
+++ b/tests/test_node_gossip.py
@@ -21,13 +21,13 @@
 
 
 @contextlib.contextmanager
-def two_nodes(folder: Path, endpoint: ScriptedEndpoint) -> Iterator[tuple[Node, Node]]:
+def two_nodes(directory: Path, endpoint: ScriptedEndpoint) -> Iterator[tuple[Node, Node]]:
     platform = ScriptedPlatform()
     platform.add_member(endpoint, 1)
     nodes = []
     for name in ("a", "b"):
-        (folder / name).mkdir()
-        nodes.append(Node(folder / name, platform))
+        (directory / name).mkdir()
+        nodes.append(Node(directory / name, platform))
     for node, other in (nodes, nodes[::-1]):
         node.config_data |= {
             "settings": GOSSIP_SETTINGS,
