--- a/irisstack/list_refresh.py
+++ b/irisstack/list_refresh.py
@@ -47,7 +47,7 @@
         self._confirmed_at = -math.inf
         self._unavailable_at = -math.inf
         self.adopt(settings)
-        self.next_at = 0.0 if self._asks else math.inf
+        self.next_call_at = 0.0 if self._asks else math.inf
         """When to ask, on the sender's clock; infinity while nothing is due."""
 
     def adopt(self, settings: api.Settings) -> None:
@@ -60,7 +60,7 @@
         """The process has just started with the list as it was last held."""
         self._failures = self._waits = 0
         if self._asks:
-            self.next_at = now + self._load_pause() * self._random.uniform(0.0, START_SPREAD)
+            self.next_call_at = now + self._load_pause() * self._random.uniform(0.0, START_SPREAD)
 
     def succeeded(self) -> None:
         """A list or a change of it has come."""
@@ -83,7 +83,7 @@
         else:
             # Reckoned from the last list that came: a failed call must not begin the 6 s of its news anew.
             pause = min(self._load_pause(), self._news_pause(now, update.unheard))
-        self.next_at = now + pause * self._random.uniform(0.5, 1.5)
+        self.next_call_at = now + pause * self._random.uniform(0.5, 1.5)
         self._failures += 1
 
     def _load_pause(self) -> float:
--- a/irisstack/watch.py
+++ b/irisstack/watch.py
@@ -76,7 +76,7 @@
 
     def _give_up(self, message: Message) -> None:
         kind = message.message_class
-        if message.maybe_ran is not None and self._latest_attempt_start(message) < self._now:
+        if message.may_have_run_at is not None and self._latest_attempt_start(message) < self._now:
             message.message_class = self._trial.classes[message.class_index]
             if (
                 message.attempts < self._trial.max_attempts
--- a/tests/test_list_refresh.py
+++ b/tests/test_list_refresh.py
@@ -31,7 +31,7 @@
         decisions = refresh(200, seed)
         for at, late in zip((3.0, 4.5), LATENESS, strict=False):
             decisions.failed(at + late, failure(at, 1.2))
-        assert decisions.next_at >= 4.5 + 5.0
+        assert decisions.next_call_at >= 4.5 + 5.0
 
 
 def test_pauses_grow_with_each_failure_once_the_news_is_overdue() -> None:
@@ -39,7 +39,7 @@
         decisions = refresh(6, seed)
         for number, at in enumerate((10.0, 13.0, 17.0, 30.0)):
             decisions.failed(at + LATENESS[number % 3], failure(at, 1.2))
-        assert decisions.next_at >= 30.0 + 0.5 * 0.2 * 6 * 2**3
+        assert decisions.next_call_at >= 30.0 + 0.5 * 0.2 * 6 * 2**3
 
 
 @pytest.mark.parametrize("senders", [2, 6, 24, 200])
@@ -48,7 +48,7 @@
     for at in (3.0, 4.5, 20.0):
         decisions.failed(at, failure(at, 1.2))
     decisions.failed(100.0, failure(2.6, 2.6))
-    assert decisions.next_at <= 100.0 + 2.4
+    assert decisions.next_call_at <= 100.0 + 2.4
 
 
 def test_a_list_that_has_become_older_at_a_move_is_asked_for_sooner() -> None:
@@ -58,4 +58,4 @@
         decisions.failed(50.0, failure(0.1, 0.1))
         for at in (51.7, 53.4):  # two calls at the new address, where all is due by 54.5, 4 s after the move
             decisions.failed(at, failure(at - 48.5, 1.2))
-        assert decisions.next_at <= 53.4 + 0.3
+        assert decisions.next_call_at <= 53.4 + 0.3
