--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -77,7 +77,7 @@
 
 def _max_outage_wait(settings: api.Settings) -> float:
     """Seconds for which a message may wait for a destination that is down, a window at the least."""
-    if settings.may_tell_peers:  # the first success is told to all, which ends the wait
+    if settings.may_gossip:  # the first success is told to all, which ends the wait
         return FAILURE_WINDOW
     return max(FAILURE_WINDOW, *(kind.deadline for kind in settings.classes))
 
@@ -157,7 +157,7 @@
             max(2, settings.max_calls // DESTINATION_SLOT_DIVISOR),
         )
         self._max_outage_wait = _max_outage_wait(settings)
-        self._list_refresh.adopt(settings)
+        self._list_refresh.apply_settings(settings)
         self._home_zone = settings.zone if settings.cross_zone_price else None
         kinds = {kind.name: kind for kind in settings.kinds}
         for destination in self._destinations.values():
@@ -167,7 +167,7 @@
 
     def _record_failure(self, scope: BreakerScope, reason: Outcome | None, from_gossip: bool = False) -> bool:
         """Count a refusal or an error; the third in the window opens the breaker. Returns whether it did."""
-        now, gossips = self._now, self._settings.may_tell_peers
+        now, gossips = self._now, self._settings.may_gossip
         breaker = self._breakers.setdefault(scope, CircuitBreaker())
         if now < breaker.open_until:
             return False  # landing while open: neither counts nor extends
@@ -227,10 +227,10 @@
     def _is_new_outage(self, breaker: CircuitBreaker) -> bool:
         """Whether calls were turned away, or are put off, for longer than a busy destination refuses all."""
         seldom = (
-            not self._settings.may_tell_peers and breaker.next_call_at >= self._now + FAILURE_WINDOW
+            not self._settings.may_gossip and breaker.next_call_at >= self._now + FAILURE_WINDOW
         )  # few calls
         put_off = max(breaker.open_until, breaker.next_call_at) if seldom else breaker.open_until
-        since = self._now if self._settings.may_tell_peers else breaker.unavailable_since
+        since = self._now if self._settings.may_gossip else breaker.unavailable_since
         return breaker.cold_until < NEVER and max(self._now, put_off) > since + OUTAGE_AFTER
 
     def _record_success(self, scope: BreakerScope, scarce: bool) -> None:
@@ -243,7 +243,7 @@
             self._broadcast_gossip(GOSSIP_SUCCESS, scope)
             breaker.failures, breaker.gossip_failures = breaker.failures - breaker.gossip_failures, 0
         if back:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
             scope.connect_failed_at.clear()  # a shut one shows no limit, one that was down no full table
         if scarce:
             self._breakers[scope] = breaker
@@ -256,7 +256,7 @@
             )
 
     def _broadcast_gossip(self, what: bytes, scope: BreakerScope) -> None:
-        if self._settings.may_tell_peers:
+        if self._settings.may_gossip:
             self._actions.append(api.TellPeer(None, what + scope.gossip_key))
 
     def _receive_gossip(self, data: bytes) -> bool:
@@ -280,7 +280,7 @@
             NEVER,
         )
         if breaker.cold_until == NEVER:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
             self._randomize_warmup_start(
                 breaker
             )  # what was saved up before the success would leave all at once
@@ -348,8 +348,8 @@
 
     def _warmup_rate(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
         """This sender's part of the calls a second that a destination coming back can bear by now."""
-        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.cold_seconds or 1.0))
-        share = self._settings.cold_start_share + (1.0 - self._settings.cold_start_share) * warm
+        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.warmup_seconds or 1.0))
+        share = self._settings.warmup_start_share + (1.0 - self._settings.warmup_start_share) * warm
         part = self._rate_share(scope)
         if breaker.cold_until == NEVER:  # a hot destination: all flows together may be far above its limit
             even = (scope.reported_limit or scope.listed_rate or NEVER) / self._settings.senders
@@ -357,19 +357,19 @@
             part = min(
                 self._arrival_rate(scope), max(1.0 / self._max_outage_wait, MAX_EVEN_SHARE_MULTIPLE * even)
             )
-        return part * share * self._settings.tip_multiple * WARMUP_BUDGET_MARGIN
+        return part * share * self._settings.overload_multiple * WARMUP_BUDGET_MARGIN
 
     # ---- messages ----
 
     def _on_message_received(self, event: api.MessageReceived) -> None:
         index, kind = event.message_class, self._settings.classes[event.message_class]
-        aim_at = min(event.due, event.due - kind.deadline + kind.aim)
+        aim_at = min(event.due, event.due - kind.deadline + kind.latency_target)
         key = event.key if kind.ordered else None
         message = Message(event.message, index, kind, event.destination, event.due, aim_at, key)
         message.attempts, message.may_have_run_at, message.may_have_run_zone = (
             event.attempts,
-            event.maybe_ran,
-            event.ran_in,
+            event.may_have_run_at,
+            event.may_have_run_zone,
         )
         self._messages[event.message] = message
         self._held_count += 1
@@ -388,13 +388,13 @@
         heappush(self._expiry_heap, (self._latest_attempt_start(message), message.id))
         if key_queue[0] is message:
             self._enqueue(message)
-        if not message.finished and self._held_count >= self._settings.max_held:
+        if not message.finished and self._held_count >= self._settings.max_pending:
             self._shed_load()
 
     def _expected_latency(self, message: Message) -> float:
         """How long a call of this class takes at this destination."""
         return self._get_destination(message.destination).latency_ema.get(
-            message.class_index, message.message_class.aim * INITIAL_LATENCY_SHARE
+            message.class_index, message.message_class.latency_target * INITIAL_LATENCY_SHARE
         )
 
     def _repeatable_until(self, message: Message) -> float:
@@ -415,7 +415,7 @@
     def _latest_attempt_start(self, message: Message) -> float:
         """The last time at which a further attempt is allowed and a usual call still fits."""
         repeat = (
-            self._repeatable_until(message) - self._settings.connect_timeout - self._settings.tick
+            self._repeatable_until(message) - self._settings.connect_timeout - self._settings.clock_resolution
         )  # as it leaves
         return min(message.due - self._expected_latency(message), repeat)
 
@@ -594,7 +594,7 @@
                 # A gap beyond the aim would cost more than the refusals that it spares.
                 scarce = scope.reported_limit > 0.0 and report.get("x0", 1.0) < LOW_REMAINING_SHARE
                 self._record_success(
-                    scope, scarce and self._rate_share(scope) * message.message_class.aim >= 1.0
+                    scope, scarce and self._rate_share(scope) * message.message_class.latency_target >= 1.0
                 )
                 since = scope.connect_failed_at.get(route, NEVER)
                 if call.sent_at >= since and self._crowded_until < since + CROWDED_DURATION:
@@ -632,7 +632,9 @@
         )  # by a limit used up
         if event.retry_after:
             self._breakers[scope] = breaker
-            self._extend_open(breaker, scope.destination, now + event.retry_after + self._settings.tick)
+            self._extend_open(
+                breaker, scope.destination, now + event.retry_after + self._settings.clock_resolution
+            )
         elif outcome is Outcome.FULL and not explained and self._is_new_outage(breaker):
             self._extend_open(
                 breaker, scope.destination, now
@@ -831,12 +833,9 @@
         """Whether its next call comes so soon that a connection earns its place in the endpoint's table."""
         # Guards against tables full of idle connections: who holds one is not turned away and never learns.
         destination, senders = self._get_destination(message.destination), self._settings.senders
-        if (
-            self._settings.may_tell_peers
-            or any(  # a sender that is turned away tells of it, or one may go now
-                e in self._active_queues and self._queue_available_at(e) <= self._now
-                for e in destination.queues.values()
-            )
+        if self._settings.may_gossip or any(  # a sender that is turned away tells of it, or one may go now
+            e in self._active_queues and self._queue_available_at(e) <= self._now
+            for e in destination.queues.values()
         ):
             return True
         in_use = destination.arrival_rate * self._expected_latency(message) / MIN_CONNECTION_UTILIZATION
@@ -864,7 +863,7 @@
         for heap, late in (
             (self._overdue_heap, 0.0),
             (self._order_pauses, 0.0),
-            (self._expiry_heap, self._settings.tick),
+            (self._expiry_heap, self._settings.clock_resolution),
         ):
             if heap:
                 wake = min(wake, heap[0][0] + late)
--- a/irisstack/watch.py
+++ b/irisstack/shadow.py
@@ -12,7 +12,7 @@
 from irisstack.delivery_state import BreakerScope, DestinationQueue, Message
 
 
-class Kind(StrEnum):
+class Divergence(StrEnum):
     """What would have gone otherwise."""
 
     NOTE = "watch_note"
@@ -27,16 +27,16 @@
     """A message was given up that could have had another attempt."""
 
 
-class Watching(Sender):
+class ShadowSender(Sender):
     """A sender that decides by its settings and watches for where those on trial differ."""
 
     def __init__(
-        self, settings: api.Settings, trial: api.Settings, seed: int, count: Callable[[Kind], None]
+        self, settings: api.Settings, trial: api.Settings, seed: int, count: Callable[[Divergence], None]
     ) -> None:
         super().__init__(settings, seed)
         self._trial = trial
         self._count = count
-        self._tells = trial.may_tell_peers and not settings.may_tell_peers
+        self._tells = trial.may_gossip and not settings.may_gossip
         self._trial_home = trial.zone if trial.cross_zone_price else None
 
     def _record_failure(
@@ -47,15 +47,15 @@
         before = breaker.failures if breaker is not None and self._now < breaker.window_end else 0
         opened = super()._record_failure(limit, reason, from_gossip)
         if self._tells and counts and reason not in (api.Outcome.FULL, api.Outcome.RESET):
-            self._count(Kind.NOTE)
+            self._count(Divergence.NOTE)
         if self._tells and opened and before + 1 < FAILURE_THRESHOLD:
-            self._count(Kind.OPENED_ALONE)
+            self._count(Divergence.OPENED_ALONE)
         return opened
 
     def _should_keep_connection(self, message: Message) -> bool:
         keep = super()._should_keep_connection(message)
         if self._tells and not keep:
-            self._count(Kind.CONNECTION_CLOSED)
+            self._count(Divergence.CONNECTION_CLOSED)
         return keep
 
     def _send_call(self, line: DestinationQueue) -> None:
@@ -72,7 +72,7 @@
             if route.zone == self._trial_home and route.avoid_until.get(index, 0.0) <= self._now
         ]
         if home and sent.endpoint not in home:
-            self._count(Kind.OTHER_ZONE)
+            self._count(Divergence.OTHER_ZONE)
 
     def _give_up(self, message: Message) -> None:
         kind = message.message_class
@@ -82,6 +82,6 @@
                 message.attempts < self._trial.max_attempts
                 and self._latest_attempt_start(message) >= self._now
             ):
-                self._count(Kind.GIVEN_UP)
+                self._count(Divergence.GIVEN_UP)
             message.message_class = kind
         super()._give_up(message)
