--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -34,11 +34,11 @@
 MAX_EVEN_SHARE_MULTIPLE = (
     1.5  # times the even part of a told rate that one sender may take of a destination not back yet
 )
-USED_UP_REMAINING_SHARE = (
+BUSY_REMAINING_SHARE = (
     0.75  # a share left under this explains a refusal: it is the limit, and the destination is not shut
 )
 LOW_REMAINING_SHARE = (
-    1.0 - USED_UP_REMAINING_SHARE
+    1.0 - BUSY_REMAINING_SHARE
 )  # a share left under this has calls spaced before any is refused
 SLOWDOWN_FACTOR = 1.5  # each further refusal stretches the gap between calls by this
 MAX_INITIAL_CALL_GAP = (
@@ -79,7 +79,7 @@
     """Seconds for which a message may wait for a destination that is down, a window at the least."""
     if settings.may_gossip:  # the first success is told to all, which ends the wait
         return FAILURE_WINDOW
-    return max(FAILURE_WINDOW, *(kind.deadline for kind in settings.classes))
+    return max(FAILURE_WINDOW, *(message_class.deadline for message_class in settings.classes))
 
 
 class Sender:
@@ -95,7 +95,7 @@
         self._destinations: dict[int, Destination] = {}
         self._destination_by_address: dict[api.Address, int] = {}
         self._messages: dict[int, Message] = {}
-        self._held_count = self._calls_in_flight = 0
+        self._pending_count = self._calls_in_flight = 0
         self._slots_per_destination = max(
             2, settings.max_calls // DESTINATION_SLOT_DIVISOR
         )  # that one destination may hold
@@ -165,9 +165,11 @@
 
     # ---- the circuit breaker ----
 
-    def _record_failure(self, scope: BreakerScope, reason: Outcome | None, from_gossip: bool = False) -> bool:
+    def _record_failure(
+        self, scope: BreakerScope, outcome: Outcome | None, from_gossip: bool = False
+    ) -> bool:
         """Count a refusal or an error; the third in the window opens the breaker. Returns whether it did."""
-        now, gossips = self._now, self._settings.may_gossip
+        now, gossip_enabled = self._now, self._settings.may_gossip
         breaker = self._breakers.setdefault(scope, CircuitBreaker())
         if now < breaker.open_until:
             return False  # landing while open: neither counts nor extends
@@ -179,32 +181,35 @@
                 now + FAILURE_WINDOW,
             )
         breaker.failures += 1
-        shut = now > breaker.unavailable_since + OUTAGE_AFTER
-        if gossips and reason is not Outcome.RESET and (reason is not Outcome.FULL or shut):
+        is_down = now > breaker.unavailable_since + OUTAGE_AFTER
+        if gossip_enabled and outcome is not Outcome.RESET and (outcome is not Outcome.FULL or is_down):
             breaker.gossip_failures += 1
             if not from_gossip:
                 self._broadcast_gossip(GOSSIP_FAILURE, scope)
         # Few errors among many successes (a lossy path, one failing class) must not shut the rest out.
-        few = reason is not Outcome.FULL and breaker.failures < breaker.successes * TOLERATED_FAILURE_RATIO
+        tolerated = (
+            outcome is not Outcome.FULL and breaker.failures < breaker.successes * TOLERATED_FAILURE_RATIO
+        )
         # One of many senders has too few calls in a window to see the third: what may have run opens sooner.
-        most = (
+        threshold_cap = (
             FAILURE_THRESHOLD
-            if reason in NOT_RUN_OUTCOMES or gossips
+            if outcome in NOT_RUN_OUTCOMES or gossip_enabled
             else max(1.0, self._rate_share(scope) * FAILURE_WINDOW // 1.0)
         )
         if (
-            breaker.failures - breaker.gossip_failures >= min(FAILURE_THRESHOLD, most) and not few
+            breaker.failures - breaker.gossip_failures >= min(FAILURE_THRESHOLD, threshold_cap)
+            and not tolerated
         ) or breaker.gossip_failures >= GOSSIP_FAILURE_THRESHOLD:
-            down = (
+            is_outage = (
                 breaker.gossip_failures >= GOSSIP_FAILURE_THRESHOLD
-                if gossips
-                else reason not in NOT_RUN_OUTCOMES
+                if gossip_enabled
+                else outcome not in NOT_RUN_OUTCOMES
             )
             breaker.failures = breaker.gossip_failures = 0
-            breaker.cold_until = NEVER if down else breaker.cold_until
+            breaker.cold_until = NEVER if is_outage else breaker.cold_until
             self._extend_open(breaker, scope.destination, now + OPEN_DURATION)
-            number, why = scope.destination.number, reason.name if reason else "SILENCE"
-            self._actions.append(api.Log(f"destination {number} open for {OPEN_DURATION:g} s after {why}"))
+            number, cause = scope.destination.number, outcome.name if outcome else "SILENCE"
+            self._actions.append(api.Log(f"destination {number} open for {OPEN_DURATION:g} s after {cause}"))
             return True
         return False
 
@@ -214,7 +219,7 @@
         self._randomize_warmup_start(breaker)
         if self._is_new_outage(breaker):
             breaker.cold_until = NEVER
-        for message in [m for queue in destination.queues.values() for m in queue.messages()]:
+        for message in [m for queue in destination.queues.values() for m in queue.queued_messages()]:
             if not message.finished and self._too_late_to_send(message):
                 self._give_up(message)
 
@@ -226,48 +231,48 @@
 
     def _is_new_outage(self, breaker: CircuitBreaker) -> bool:
         """Whether calls were turned away, or are put off, for longer than a busy destination refuses all."""
-        seldom = (
+        few_calls = (
             not self._settings.may_gossip and breaker.next_call_at >= self._now + FAILURE_WINDOW
         )  # few calls
-        put_off = max(breaker.open_until, breaker.next_call_at) if seldom else breaker.open_until
+        held_until = max(breaker.open_until, breaker.next_call_at) if few_calls else breaker.open_until
         since = self._now if self._settings.may_gossip else breaker.unavailable_since
-        return breaker.cold_until < NEVER and max(self._now, put_off) > since + OUTAGE_AFTER
+        return breaker.cold_until < NEVER and max(self._now, held_until) > since + OUTAGE_AFTER
 
-    def _record_success(self, scope: BreakerScope, scarce: bool) -> None:
+    def _record_success(self, scope: BreakerScope, limit_is_low: bool) -> None:
         """A call that ended well takes back part of the slowing; the spacing lapses once nothing waits."""
         # Little left of a limit begins it: many senders reach it together, with too few calls each to see it.
         breaker = self._breakers.get(scope) or CircuitBreaker()
         breaker.successes, breaker.unavailable_since = breaker.successes + 1, NEVER
-        back = breaker.cold_until == NEVER and self._now >= breaker.open_until
-        if breaker.gossip_failures or back:
+        recovered = breaker.cold_until == NEVER and self._now >= breaker.open_until
+        if breaker.gossip_failures or recovered:
             self._broadcast_gossip(GOSSIP_SUCCESS, scope)
             breaker.failures, breaker.gossip_failures = breaker.failures - breaker.gossip_failures, 0
-        if back:
+        if recovered:
             breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
             scope.connect_failed_at.clear()  # a shut one shows no limit, one that was down no full table
-        if scarce:
+        if limit_is_low:
             self._breakers[scope] = breaker
             breaker.slowdown_steps = max(breaker.slowdown_steps, 1.0)
         elif breaker.slowdown_steps:
-            waits = any(queue in self._active_queues for queue in scope.destination.queues.values())
-            shared = scope.destination.kind.max_batch > 1  # what waits goes with the next call, however late
+            has_queued = any(queue in self._active_queues for queue in scope.destination.queues.values())
+            batched = scope.destination.kind.max_batch > 1  # what waits goes with the next call, however late
             breaker.slowdown_steps = max(
-                float(waits), breaker.slowdown_steps - (BATCH_SLOWDOWN_RECOVERY if shared else 1.0)
+                float(has_queued), breaker.slowdown_steps - (BATCH_SLOWDOWN_RECOVERY if batched else 1.0)
             )
 
-    def _broadcast_gossip(self, what: bytes, scope: BreakerScope) -> None:
+    def _broadcast_gossip(self, gossip_type: bytes, scope: BreakerScope) -> None:
         if self._settings.may_gossip:
-            self._actions.append(api.TellPeer(None, what + scope.gossip_key))
+            self._actions.append(api.TellPeer(None, gossip_type + scope.gossip_key))
 
     def _receive_gossip(self, data: bytes) -> bool:
         """A note: a failure counts, a success ends their run. Returns whether this changes what may go."""
-        what, scope = data[:1], self._scopes_by_key.get(data[1:])
-        if what == GOSSIP_CROWDED:
+        gossip_type, scope = data[:1], self._scopes_by_key.get(data[1:])
+        if gossip_type == GOSSIP_CROWDED:
             self._crowded_until = self._now + CROWDED_DURATION
-        if scope is None or what != GOSSIP_SUCCESS:
+        if scope is None or gossip_type != GOSSIP_SUCCESS:
             return (
                 scope is not None
-                and what == GOSSIP_FAILURE
+                and gossip_type == GOSSIP_FAILURE
                 and self._record_failure(scope, None, from_gossip=True)
             )
         scope.last_success_sent_at = max(
@@ -289,24 +294,26 @@
 
     def _route_available_at(self, route: Route) -> float:
         """The earliest time at which a call may go there. Closed, empty breakers are dropped here."""
-        breaker = self._breakers.get(route.scope)
+        breaker = self._breakers.get(route.breaker_scope)
         if breaker is None:
             return 0.0
         cold = self._now < breaker.cold_until
-        troubled = cold or breaker.slowdown_steps or breaker.unavailable_since < NEVER
-        if not troubled and self._now >= max(breaker.open_until, breaker.window_end):
-            del self._breakers[route.scope]
+        restricted = cold or breaker.slowdown_steps or breaker.unavailable_since < NEVER
+        if not restricted and self._now >= max(breaker.open_until, breaker.window_end):
+            del self._breakers[route.breaker_scope]
             return 0.0
-        spaced_at = breaker.next_call_at if breaker.slowdown_steps and breaker.cold_until < NEVER else 0.0
+        spaced_until = breaker.next_call_at if breaker.slowdown_steps and breaker.cold_until < NEVER else 0.0
         return max(
-            breaker.open_until, spaced_at, self._warmup_available_at(breaker, route.scope) if cold else 0.0
+            breaker.open_until,
+            spaced_until,
+            self._warmup_available_at(breaker, route.breaker_scope) if cold else 0.0,
         )
 
     def _warmup_available_at(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
         """When enough of the fail-back budget is saved up for what the next call will weigh."""
-        waiting = sum(len(queue.on_time) + len(queue.late) for queue in scope.destination.queues.values())
-        size = min(waiting, self._max_batch_size(breaker, scope.destination.kind))
-        weight = breaker.warmup_budget_used + 1.0 + EXTRA_MESSAGE_WEIGHT * max(0, size - 1)
+        queued = sum(len(queue.on_time) + len(queue.late) for queue in scope.destination.queues.values())
+        batch_size = min(queued, self._max_batch_size(breaker, scope.destination.kind))
+        weight = breaker.warmup_budget_used + 1.0 + EXTRA_MESSAGE_WEIGHT * max(0, batch_size - 1)
         return breaker.warmup_budget_since + weight / self._warmup_rate(breaker, scope)
 
     def _max_batch_size(self, breaker: CircuitBreaker, kind: api.DestinationKind) -> int:
@@ -320,16 +327,18 @@
     def _rate_share(self, scope: BreakerScope) -> float:
         """This sender's part of the calls a second told for all: its own flow's, the even part at least."""
         # Guards a limit on calls: a flow of messages that are told one by one would take it many times over.
-        flow, whole = self._arrival_rate(scope), scope.reported_limit or scope.listed_rate
-        own = flow / scope.destination.kind.max_batch
-        return min(whole, max(own, whole / self._settings.senders)) or max(
-            own, min(flow, 1.0 / MAX_INITIAL_CALL_GAP)
+        arrival_rate, known_rate = self._arrival_rate(scope), scope.reported_limit or scope.listed_rate
+        own_call_rate = arrival_rate / scope.destination.kind.max_batch
+        return min(known_rate, max(own_call_rate, known_rate / self._settings.senders)) or max(
+            own_call_rate, min(arrival_rate, 1.0 / MAX_INITIAL_CALL_GAP)
         )
 
     def _arrival_rate(self, scope: BreakerScope) -> float:
         """This sender's messages a second for what shares one limit."""
-        there = scope.destination
-        return there.arrival_rate / max(1, len(there.routes) if there.kind.separate_routes else 1)
+        destination = scope.destination
+        return destination.arrival_rate / max(
+            1, len(destination.routes) if destination.kind.separate_routes else 1
+        )
 
     def _schedule_next_call(self, scope: BreakerScope) -> None:
         """Note a call: evenly spaced after refusals, charged to the budget while cold."""
@@ -341,42 +350,45 @@
 
     def _call_gap(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
         """Seconds between two calls of this sender while refusals have them spaced."""
-        most = NEVER if scope.reported_limit or scope.listed_rate else MAX_INITIAL_CALL_GAP
+        max_gap = NEVER if scope.reported_limit or scope.listed_rate else MAX_INITIAL_CALL_GAP
         return float(SLOWDOWN_FACTOR ** max(0.0, breaker.slowdown_steps - 1.0)) * min(
-            1.0 / self._rate_share(scope), most
+            1.0 / self._rate_share(scope), max_gap
         )
 
     def _warmup_rate(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
         """This sender's part of the calls a second that a destination coming back can bear by now."""
-        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.warmup_seconds or 1.0))
-        share = self._settings.warmup_start_share + (1.0 - self._settings.warmup_start_share) * warm
-        part = self._rate_share(scope)
+        progress = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.warmup_seconds or 1.0))
+        capacity = self._settings.warmup_start_share + (1.0 - self._settings.warmup_start_share) * progress
+        rate = self._rate_share(scope)
         if breaker.cold_until == NEVER:  # a hot destination: all flows together may be far above its limit
-            even = (scope.reported_limit or scope.listed_rate or NEVER) / self._settings.senders
+            even_share = (scope.reported_limit or scope.listed_rate or NEVER) / self._settings.senders
             # Each sender with a message in line takes a part; the lines hold what came in a message's life.
-            part = min(
-                self._arrival_rate(scope), max(1.0 / self._max_outage_wait, MAX_EVEN_SHARE_MULTIPLE * even)
+            rate = min(
+                self._arrival_rate(scope),
+                max(1.0 / self._max_outage_wait, MAX_EVEN_SHARE_MULTIPLE * even_share),
             )
-        return part * share * self._settings.overload_multiple * WARMUP_BUDGET_MARGIN
+        return rate * capacity * self._settings.overload_multiple * WARMUP_BUDGET_MARGIN
 
     # ---- messages ----
 
     def _on_message_received(self, event: api.MessageReceived) -> None:
-        index, kind = event.message_class, self._settings.classes[event.message_class]
-        aim_at = min(event.due, event.due - kind.deadline + kind.latency_target)
-        key = event.key if kind.ordered else None
-        message = Message(event.message, index, kind, event.destination, event.due, aim_at, key)
+        class_index, message_class = event.message_class, self._settings.classes[event.message_class]
+        latency_target_at = min(event.due, event.due - message_class.deadline + message_class.latency_target)
+        key = event.key if message_class.ordered else None
+        message = Message(
+            event.message, class_index, message_class, event.destination, event.due, latency_target_at, key
+        )
         message.attempts, message.may_have_run_at, message.may_have_run_zone = (
             event.attempts,
             event.may_have_run_at,
             event.may_have_run_zone,
         )
         self._messages[event.message] = message
-        self._held_count += 1
+        self._pending_count += 1
         destination = self._get_destination(event.destination)
-        kept = max(0.0, 1.0 - (self._now - destination.arrival_rate_at) / FAILURE_WINDOW)
+        decay = max(0.0, 1.0 - (self._now - destination.arrival_rate_at) / FAILURE_WINDOW)
         destination.arrival_rate, destination.arrival_rate_at = (
-            destination.arrival_rate * kept + 1.0 / FAILURE_WINDOW,
+            destination.arrival_rate * decay + 1.0 / FAILURE_WINDOW,
             self._now,
         )
         key_queue = (
@@ -388,7 +400,7 @@
         heappush(self._expiry_heap, (self._latest_attempt_start(message), message.id))
         if key_queue[0] is message:
             self._enqueue(message)
-        if not message.finished and self._held_count >= self._settings.max_pending:
+        if not message.finished and self._pending_count >= self._settings.max_pending:
             self._shed_load()
 
     def _expected_latency(self, message: Message) -> float:
@@ -399,12 +411,14 @@
 
     def _repeatable_until(self, message: Message) -> float:
         """Until when another attempt, or a refusal, cannot double the message's effect."""
-        kind = message.message_class
-        if message.may_have_run_at is None or kind.effect is Effect.SAFE:
+        message_class = message.message_class
+        if message.may_have_run_at is None or message_class.effect is Effect.SAFE:
             return NEVER
-        if kind.effect is Effect.UNSAFE or (message.zone_scoped_dedup and message.may_have_run_zone is None):
+        if message_class.effect is Effect.UNSAFE or (
+            message.zone_scoped_dedup and message.may_have_run_zone is None
+        ):
             return -NEVER
-        return message.may_have_run_at + kind.dedup_window
+        return message.may_have_run_at + message_class.dedup_window
 
     def _may_refuse(self, message: Message) -> bool:
         """Whether its client may hand it in again: one that a single zone knows it may take to another."""
@@ -414,10 +428,10 @@
 
     def _latest_attempt_start(self, message: Message) -> float:
         """The last time at which a further attempt is allowed and a usual call still fits."""
-        repeat = (
+        latest_repeat = (
             self._repeatable_until(message) - self._settings.connect_timeout - self._settings.clock_resolution
         )  # as it leaves
-        return min(message.due - self._expected_latency(message), repeat)
+        return min(message.due - self._expected_latency(message), latest_repeat)
 
     def _enqueue(self, message: Message) -> None:
         """Put a message in line at its destination, unless it cannot wait for the close."""
@@ -441,31 +455,31 @@
 
     def _earliest_close(self, message: Message) -> float:
         """When the first of the message's routes closes again; no endpoint yet is no reason to refuse."""
-        breakers = [self._breakers.get(route.scope) for route in self._queue_for(message).routes()]
+        breakers = [self._breakers.get(route.breaker_scope) for route in self._queue_for(message).routes()]
         return min((breaker.open_until if breaker else 0.0 for breaker in breakers), default=0.0)
 
     def _give_up(self, message: Message) -> None:
         """The final answer, at once, for a message that will not be sent again: a refusal where allowed."""
         if self._may_refuse(message):
             # At its turn there; one that may have run while it is known there, so at the close.
-            at = (
+            retry_at = (
                 self._queue_available_at(self._queue_for(message))
                 if message.may_have_run_at is None
                 else self._earliest_close(message)
             )
-            wait = (
-                min(at - self._now, self._settings.max_retry_after)
+            retry_after = (
+                min(retry_at - self._now, self._settings.max_retry_after)
                 if self._settings.advises_retry_after
                 else 0.0
             )
-            self._actions.append(api.Refuse(message.id, wait if wait > 0.0 else None))
+            self._actions.append(api.Refuse(message.id, retry_after if retry_after > 0.0 else None))
         else:
             self._actions.append(api.Fail(message.id))
         self._finish(message)
 
     def _finish(self, message: Message) -> None:
         message.finished = True
-        self._held_count -= 1
+        self._pending_count -= 1
         if message.call is None:
             self._remove_message(message)
 
@@ -493,49 +507,53 @@
 
     def _shed_load(self) -> None:
         """At the holding limit, refuse the unsent message with least at stake before one is turned away."""
-        unsent = [m for m in self._messages.values() if m.queued]
-        counts = Counter(m.destination for m in unsent)
-        waits = {
+        queued = [m for m in self._messages.values() if m.queued]
+        counts = Counter(m.destination for m in queued)
+        drain_times = {
             number: self._queue_drain_time(self._get_destination(number), counts[number]) for number in counts
         }
 
-        def least_at_stake(message: Message) -> tuple[bool, float, float, float, int]:
-            wait = waits[message.destination]  # one that would fail only if none is left that may come again
-            may_wait = wait > 0.0 and self._may_refuse(message)
-            return may_wait, wait, -message.message_class.worth, message.latency_target_at, message.id
+        def shed_priority(message: Message) -> tuple[bool, float, float, float, int]:
+            drain_time = drain_times[
+                message.destination
+            ]  # one that would fail only if none is left that may come again
+            preferred = drain_time > 0.0 and self._may_refuse(message)
+            return preferred, drain_time, -message.message_class.worth, message.latency_target_at, message.id
 
-        if unsent:
-            self._give_up(max(unsent, key=least_at_stake))
+        if queued:
+            self._give_up(max(queued, key=shed_priority))
 
     def _queue_drain_time(self, destination: Destination, count: int) -> float:
         """How long so many messages for it will be in line, at the pace that holds there now."""
         # Guards a healthy destination with small calls: unpaced, its line is over before that of a shut one.
-        gate, calls = (
+        available_at, calls = (
             self._queue_available_at(destination.queue(None)),
             -(-count // destination.kind.max_batch),
         )
-        if gate == NEVER:
+        if available_at == NEVER:
             return NEVER
         route = min(destination.routes.values(), key=self._route_available_at)
-        breaker = self._breakers.get(route.scope) or CircuitBreaker()
-        each = max(destination.latency_ema.values(), default=0.0) / self._slots_per_destination
+        breaker = self._breakers.get(route.breaker_scope) or CircuitBreaker()
+        time_per_call = max(destination.latency_ema.values(), default=0.0) / self._slots_per_destination
         if self._now < breaker.cold_until:
-            drain_time = (calls + EXTRA_MESSAGE_WEIGHT * (count - calls)) / self._warmup_rate(
-                breaker, route.scope
+            paced_time = (calls + EXTRA_MESSAGE_WEIGHT * (count - calls)) / self._warmup_rate(
+                breaker, route.breaker_scope
             )
         else:
-            drain_time = calls * (self._call_gap(breaker, route.scope) if breaker.slowdown_steps else 0.0)
-        return max(0.0, gate - self._now) + max(drain_time, calls * each)
+            paced_time = calls * (
+                self._call_gap(breaker, route.breaker_scope) if breaker.slowdown_steps else 0.0
+            )
+        return max(0.0, available_at - self._now) + max(paced_time, calls * time_per_call)
 
     def _expire_messages(self) -> None:
         """Give up messages for which a usual call no longer fits."""
         while self._expiry_heap and self._expiry_heap[0][0] < self._now:
             message = self._messages.get(heappop(self._expiry_heap)[1])
             if message is not None and message.queued:
-                if (latest := self._latest_attempt_start(message)) < self._now:
+                if (latest_start := self._latest_attempt_start(message)) < self._now:
                     self._give_up(message)
                 else:
-                    heappush(self._expiry_heap, (latest, message.id))
+                    heappush(self._expiry_heap, (latest_start, message.id))
 
     # ---- outcomes ----
 
@@ -554,7 +572,7 @@
             ):
                 call.route.all_in_use_at = self._now
             self._calls_in_flight -= 1
-            call.route.scope.destination.calls_in_flight -= 1
+            call.route.breaker_scope.destination.calls_in_flight -= 1
             call.route.calls_in_flight -= 1
         self._record_outcome(message, call, event)
         message.call = None
@@ -576,29 +594,32 @@
 
     def _record_outcome(self, message: Message, call: Call, event: api.AttemptEnded) -> None:
         """What an outcome shows of its destination. A shared call has one fate and counts once."""
-        route, scope, outcome, now = call.route, call.route.scope, event.outcome, self._now
+        route, scope, outcome, now = call.route, call.route.breaker_scope, event.outcome, self._now
         report = dict(zip(self._settings.report_fields, event.report, strict=False))
         scope.reported_limit = max(0.0, report.get("x1", scope.reported_limit))
         if outcome in (Outcome.OK, Outcome.FULL):
             route.avoid_until.pop(message.class_index, None)
         if outcome is Outcome.OK:
             scope.last_success_sent_at = max(scope.last_success_sent_at, call.sent_at)
-            usual = scope.destination.latency_ema
-            usual.setdefault(message.class_index, event.elapsed)
-            usual[message.class_index] += LATENCY_EMA_WEIGHT * (event.elapsed - usual[message.class_index])
+            latencies = scope.destination.latency_ema
+            latencies.setdefault(message.class_index, event.elapsed)
+            latencies[message.class_index] += LATENCY_EMA_WEIGHT * (
+                event.elapsed - latencies[message.class_index]
+            )
         if not call.outcome_counted:
             call.outcome_counted = True
             if outcome in (Outcome.OK, Outcome.RESET):
                 self._record_idle_result(call, -STALE_LOSS_RECOVERY if outcome is Outcome.OK else 1.0)
             if outcome is Outcome.OK:
                 # A gap beyond the aim would cost more than the refusals that it spares.
-                scarce = scope.reported_limit > 0.0 and report.get("x0", 1.0) < LOW_REMAINING_SHARE
+                limit_is_low = scope.reported_limit > 0.0 and report.get("x0", 1.0) < LOW_REMAINING_SHARE
                 self._record_success(
-                    scope, scarce and self._rate_share(scope) * message.message_class.latency_target >= 1.0
+                    scope,
+                    limit_is_low and self._rate_share(scope) * message.message_class.latency_target >= 1.0,
                 )
-                since = scope.connect_failed_at.get(route, NEVER)
-                if call.sent_at >= since and self._crowded_until < since + CROWDED_DURATION:
-                    self._crowded_until = since + CROWDED_DURATION
+                failed_at = scope.connect_failed_at.get(route, NEVER)
+                if call.sent_at >= failed_at and self._crowded_until < failed_at + CROWDED_DURATION:
+                    self._crowded_until = failed_at + CROWDED_DURATION
                     self._broadcast_gossip(GOSSIP_CROWDED, scope)
             elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
                 if outcome is not Outcome.FULL:
@@ -609,25 +630,28 @@
                     breaker = self._breakers.setdefault(scope, CircuitBreaker())
                     # One of many senders sees few calls taken. A limit that reports itself used up counts
                     # like one, unless the wait is too long for it; a wait with it unused tells of a shut one.
-                    left = report.get("x0", 0.0) if scope.reported_limit else 0.0
-                    used_up = (
-                        0.0 < left < USED_UP_REMAINING_SHARE and (event.retry_after or 0.0) < OUTAGE_AFTER
+                    remaining_share = report.get("x0", 0.0) if scope.reported_limit else 0.0
+                    limit_in_use = (
+                        0.0 < remaining_share < BUSY_REMAINING_SHARE
+                        and (event.retry_after or 0.0) < OUTAGE_AFTER
                     )
-                    breaker.unavailable_since = NEVER if used_up else min(breaker.unavailable_since, now)
+                    breaker.unavailable_since = NEVER if limit_in_use else min(breaker.unavailable_since, now)
                     if (
                         event.retry_after
-                        and left >= USED_UP_REMAINING_SHARE
+                        and remaining_share >= BUSY_REMAINING_SHARE
                         and scope.last_success_sent_at < now - FAILURE_WINDOW
                     ):
                         breaker.unavailable_since = -NEVER
                     breaker.slowdown_steps += outcome is Outcome.FULL
                 self._schedule_next_call(scope)
                 # A connect without an answer is silence: the host is gone. A full table says no at once.
-                gone = outcome is Outcome.CONNECT_FAILED and event.elapsed >= self._settings.connect_timeout
-                self._record_failure(scope, None if gone else outcome)
+                host_gone = (
+                    outcome is Outcome.CONNECT_FAILED and event.elapsed >= self._settings.connect_timeout
+                )
+                self._record_failure(scope, None if host_gone else outcome)
         breaker = self._breakers.get(scope) or CircuitBreaker()
-        explained = (
-            report.get("x0", 1.0) < USED_UP_REMAINING_SHARE
+        explained_by_limit = (
+            report.get("x0", 1.0) < BUSY_REMAINING_SHARE
             and scope.last_success_sent_at >= now - FAILURE_WINDOW
         )  # by a limit used up
         if event.retry_after:
@@ -635,7 +659,7 @@
             self._extend_open(
                 breaker, scope.destination, now + event.retry_after + self._settings.clock_resolution
             )
-        elif outcome is Outcome.FULL and not explained and self._is_new_outage(breaker):
+        elif outcome is Outcome.FULL and not explained_by_limit and self._is_new_outage(breaker):
             self._extend_open(
                 breaker, scope.destination, now
             )  # an opening of no length: only the return is paced
@@ -659,14 +683,14 @@
         # Guards against silence (hung, vanished); a few very slow messages do not count where others go well.
         while self._overdue_heap and self._overdue_heap[0][0] <= self._now:
             call = heappop(self._overdue_heap)[2]
-            answers = call.route.scope.last_success_sent_at > call.sent_at
+            answers_others = call.route.breaker_scope.last_success_sent_at > call.sent_at
             if call.open_attempts:
                 self._stuck_calls = [*(stuck for stuck in self._stuck_calls if stuck.open_attempts), call]
-                self._record_idle_result(call, 1.0 if answers else STALE_LOSS_RECOVERY)
+                self._record_idle_result(call, 1.0 if answers_others else STALE_LOSS_RECOVERY)
                 self._avoid_route(call)
-                if not answers and not call.outcome_counted:
+                if not answers_others and not call.outcome_counted:
                     call.outcome_counted = True
-                    self._record_failure(call.route.scope, None)
+                    self._record_failure(call.route.breaker_scope, None)
 
     # ---- the endpoint list ----
 
@@ -692,14 +716,14 @@
             destination = self._get_destination(endpoint.destination)
             destination.kind = self._settings.kinds[endpoint.kind]
             if endpoint.address not in destination.routes:
-                apart, (host, port) = destination.kind.separate_routes, endpoint.address
-                plain = (n := endpoint.destination).to_bytes(n.bit_length() // 8 + 1, signed=True)
-                key = host + port.to_bytes(2) if apart else plain
+                separate, (host, port) = destination.kind.separate_routes, endpoint.address
+                destination_key = (n := endpoint.destination).to_bytes(n.bit_length() // 8 + 1, signed=True)
+                key = host + port.to_bytes(2) if separate else destination_key
                 if (scope := self._scopes_by_key.get(key)) is None or scope.destination is not destination:
                     scope = self._scopes_by_key[key] = BreakerScope(key, destination)
                 destination.routes[endpoint.address] = Route(endpoint.address, endpoint.zone, scope)
                 self._destination_by_address[endpoint.address] = endpoint.destination
-            destination.routes[endpoint.address].scope.listed_rate = (
+            destination.routes[endpoint.address].breaker_scope.listed_rate = (
                 endpoint.rate * self._settings.listed_rates
             )
 
@@ -712,62 +736,67 @@
 
     def _dispatch(self) -> float:
         """Send what may go, the most pressing first; returns when to look again."""
-        order: list[tuple[bool, float, int, DestinationQueue]] = []
-        wake = min((self._rank_queue(order, queue) for queue in list(self._active_queues)), default=NEVER)
-        while order and self._calls_in_flight < self._settings.max_calls:
-            queue = heappop(order)[-1]
+        ranked: list[tuple[bool, float, int, DestinationQueue]] = []
+        next_at = min((self._rank_queue(ranked, queue) for queue in list(self._active_queues)), default=NEVER)
+        while ranked and self._calls_in_flight < self._settings.max_calls:
+            queue = heappop(ranked)[-1]
             if queue.destination.calls_in_flight < self._slots_per_destination:
                 if self._queue_available_at(queue) <= self._now:  # another line may have taken the turn
                     self._send_call(queue)
-                wake = min(wake, self._rank_queue(order, queue))
-        if order and self._settings.may_cancel and self._calls_in_flight >= self._settings.max_calls:
-            self._cancel_stuck_calls(len(order))
-        return wake
+                next_at = min(next_at, self._rank_queue(ranked, queue))
+        if ranked and self._settings.may_cancel and self._calls_in_flight >= self._settings.max_calls:
+            self._cancel_stuck_calls(len(ranked))
+        return next_at
 
     def _rank_queue(
-        self, order: list[tuple[bool, float, int, DestinationQueue]], queue: DestinationQueue
+        self, ranked: list[tuple[bool, float, int, DestinationQueue]], queue: DestinationQueue
     ) -> float:
         """Rank a line's next call; returns when it may go, if that is later."""
-        head, gate = self._head_rank(queue), self._queue_available_at(queue)
-        if head is None:
+        rank, available_at = self._head_rank(queue), self._queue_available_at(queue)
+        if rank is None:
             del self._active_queues[queue]
-        elif gate > self._now:
-            return gate
+        elif available_at > self._now:
+            return available_at
         else:
             self._sequence += 1
-            heappush(order, (*head, self._sequence, queue))
+            heappush(ranked, (*rank, self._sequence, queue))
         return NEVER
 
-    def _cancel_stuck_calls(self, wanted: int) -> None:
+    def _cancel_stuck_calls(self, slots_wanted: int) -> None:
         """Cut calls stuck at silent destinations when others need their slots, repeatable ones first."""
         # Guards against slots full of calls that wait for their deadline. Could lose an answer still to come.
-        stuck = sorted(
+        by_unsafe_messages = sorted(
             self._stuck_calls, key=lambda c: sum(m.message_class.effect is Effect.UNSAFE for m in c.messages)
         )
-        for call in stuck:
+        for call in by_unsafe_messages:
             if (
-                wanted
+                slots_wanted
                 and call.open_attempts
-                and (call.route.scope.last_success_sent_at < call.sent_at or self._now > call.timeout_at)
+                and (
+                    call.route.breaker_scope.last_success_sent_at < call.sent_at
+                    or self._now > call.timeout_at
+                )
             ):
-                wanted -= 1
+                slots_wanted -= 1
                 self._actions.extend(
                     api.Cancel(m.id, m.attempts - 1) for m in call.messages if m.call is call
                 )
 
     def _head_rank(self, queue: DestinationQueue) -> tuple[bool, float] | None:
         """The rank of the next call: in time before late, then by slot time for each unit of worth."""
-        size = min(queue.destination.kind.max_batch, len(queue.on_time) + len(queue.late))
+        batch_size = min(queue.destination.kind.max_batch, len(queue.on_time) + len(queue.late))
         for entries, is_late in ((queue.on_time, False), (queue.late, True)):
             while entries:
                 message = entries[0][-1]
-                in_line = message.queued
-                if in_line and (
+                is_queued = message.queued
+                if is_queued and (
                     is_late or self._now + self._expected_latency(message) <= message.latency_target_at
                 ):
-                    return is_late, self._expected_latency(message) / (size * message.message_class.worth)
+                    return is_late, self._expected_latency(message) / (
+                        batch_size * message.message_class.worth
+                    )
                 heappop(entries)
-                if in_line:
+                if is_queued:
                     heappush(
                         queue.late,
                         (-message.message_class.worth, -message.latency_target_at, message.id, message),
@@ -776,25 +805,33 @@
 
     def _send_call(self, queue: DestinationQueue) -> None:
         """Make one call."""
-        now, per, destination = self._now, self._settings.calls_per_connection, queue.destination
+        now, calls_per_connection, destination = (
+            self._now,
+            self._settings.calls_per_connection,
+            queue.destination,
+        )
         routes = [route for route in queue.routes() if self._route_available_at(route) <= now]
-        index = (queue.on_time or queue.late)[0][-1].class_index
+        class_index = (queue.on_time or queue.late)[0][-1].class_index
 
-        def preference(route: Route) -> tuple[bool, float, float]:
-            price = CROSS_ZONE_PENALTY * (route.zone != self._home_zone) + (
+        def cost(route: Route) -> tuple[bool, float, float]:
+            penalty = CROSS_ZONE_PENALTY * (route.zone != self._home_zone) + (
                 0.0 if self._has_free_connection(route) else NEW_CONNECTION_PENALTY
             )
             # Of equals any: every sender has the list in one order, and all would take the first.
             return (
-                route.avoid_until.get(index, 0.0) > now,
-                route.calls_in_flight + price,
+                route.avoid_until.get(class_index, 0.0) > now,
+                route.calls_in_flight + penalty,
                 self._random.random(),
             )
 
-        route = min(routes, key=preference)
-        breaker = self._breakers.get(route.scope) or CircuitBreaker()
+        route = min(routes, key=cost)
+        breaker = self._breakers.get(route.breaker_scope) or CircuitBreaker()
         unproven = breaker.cold_until == NEVER
-        call, size, overdue = Call(route, now), self._max_batch_size(breaker, destination.kind), 0.0
+        call, max_messages, overdue_after = (
+            Call(route, now),
+            self._max_batch_size(breaker, destination.kind),
+            0.0,
+        )
         if not self._has_free_connection(route):
             route.connections += 1
         elif (
@@ -803,43 +840,45 @@
         ):
             # Something on the path drops idle connections early, and the next call there is lost.
             self._actions.append(api.CloseIdle(route.address))
-            route.connections = route.calls_in_flight // per + 1
+            route.connections = route.calls_in_flight // calls_per_connection + 1
         else:
             call.connection_idle = now - route.all_in_use_at
         route.calls_in_flight += 1
-        if route.calls_in_flight > (route.connections - 1) * per:
+        if route.calls_in_flight > (route.connections - 1) * calls_per_connection:
             route.all_in_use_at = now
-        while call.open_attempts < size and self._head_rank(queue) is not None:
+        while call.open_attempts < max_messages and self._head_rank(queue) is not None:
             message = self._take_message(queue, unproven)
             message.call = call
             call.messages.append(message)
             message.attempts += 1
             call.open_attempts += 1
-            silent = OVERDUE_LATENCY_MULTIPLE * self._expected_latency(message) + OVERDUE_SLACK
-            overdue = max(overdue, silent)
+            message_overdue_after = OVERDUE_LATENCY_MULTIPLE * self._expected_latency(message) + OVERDUE_SLACK
+            overdue_after = max(overdue_after, message_overdue_after)
             unsafe = message.message_class.effect is Effect.UNSAFE
-            give_up = None if unsafe else min(message.due, now + silent * TIMEOUT_OVERDUE_MULTIPLE)
+            give_up_at = (
+                None if unsafe else min(message.due, now + message_overdue_after * TIMEOUT_OVERDUE_MULTIPLE)
+            )
             self._actions.append(
-                api.Send(message.id, route.address, give_up, self._repeatable_until(message))
+                api.Send(message.id, route.address, give_up_at, self._repeatable_until(message))
             )
         destination.calls_in_flight += 1
         self._calls_in_flight += 1
         self._sequence += 1
-        call.timeout_at = now + overdue * TIMEOUT_OVERDUE_MULTIPLE
-        heappush(self._overdue_heap, (now + overdue, self._sequence, call))
-        self._schedule_next_call(route.scope)
+        call.timeout_at = now + overdue_after * TIMEOUT_OVERDUE_MULTIPLE
+        heappush(self._overdue_heap, (now + overdue_after, self._sequence, call))
+        self._schedule_next_call(route.breaker_scope)
 
     def _should_keep_connection(self, message: Message) -> bool:
         """Whether its next call comes so soon that a connection earns its place in the endpoint's table."""
         # Guards against tables full of idle connections: who holds one is not turned away and never learns.
         destination, senders = self._get_destination(message.destination), self._settings.senders
         if self._settings.may_gossip or any(  # a sender that is turned away tells of it, or one may go now
-            e in self._active_queues and self._queue_available_at(e) <= self._now
-            for e in destination.queues.values()
+            queue in self._active_queues and self._queue_available_at(queue) <= self._now
+            for queue in destination.queues.values()
         ):
             return True
-        in_use = destination.arrival_rate * self._expected_latency(message) / MIN_CONNECTION_UTILIZATION
-        return senders * (1.0 - in_use) <= MIN_CONNECTION_TABLE_SIZE
+        utilization = destination.arrival_rate * self._expected_latency(message) / MIN_CONNECTION_UTILIZATION
+        return senders * (1.0 - utilization) <= MIN_CONNECTION_TABLE_SIZE
 
     def _has_free_connection(self, route: Route) -> bool:
         """Whether a connection is believed free there: a new one costs time and has a price."""
@@ -849,7 +888,7 @@
 
     def _take_message(self, queue: DestinationQueue, unproven: bool) -> Message:
         """The next message to send. On an unproven destination one that may be repeated goes first."""
-        for message in queue.messages() if unproven else ():
+        for message in queue.queued_messages() if unproven else ():
             if message.message_class.effect is not Effect.UNSAFE:
                 for entries in (
                     queue.on_time,
@@ -859,14 +898,14 @@
                 return message
         return heappop(queue.on_time or queue.late)[-1]
 
-    def _set_timer(self, wake: float) -> None:
-        for heap, late in (
+    def _set_timer(self, wake_at: float) -> None:
+        for heap, delay in (
             (self._overdue_heap, 0.0),
             (self._order_pauses, 0.0),
             (self._expiry_heap, self._settings.clock_resolution),
         ):
             if heap:
-                wake = min(wake, heap[0][0] + late)
-        if wake < self._timer_at:
-            self._timer_at, self._timer_token = wake, self._timer_token + 1
-            self._actions.append(api.SetTimer(max(0.0, min(wake - self._now, 3600.0)), self._timer_token))
+                wake_at = min(wake_at, heap[0][0] + delay)
+        if wake_at < self._timer_at:
+            self._timer_at, self._timer_token = wake_at, self._timer_token + 1
+            self._actions.append(api.SetTimer(max(0.0, min(wake_at - self._now, 3600.0)), self._timer_token))
--- a/irisstack/delivery_state.py
+++ b/irisstack/delivery_state.py
@@ -45,7 +45,7 @@
 
     address: api.Address
     zone: int
-    scope: BreakerScope
+    breaker_scope: BreakerScope
     calls_in_flight: int = 0
     connections: int = 0  # believed open
     all_in_use_at: float = 0.0  # when all of its connections were last in use
@@ -80,7 +80,7 @@
     on_time: "list[QueueEntry]" = field(default_factory=list)  # by end of the aim
     late: "list[QueueEntry]" = field(default_factory=list)  # by worth, newest first
 
-    def messages(self) -> "list[Message]":
+    def queued_messages(self) -> "list[Message]":
         return [entry[-1] for entry in (*self.on_time, *self.late) if entry[-1].queued]
 
     def routes(self) -> "list[Route]":
--- a/irisstack/list_refresh.py
+++ b/irisstack/list_refresh.py
@@ -11,29 +11,29 @@
 
 from irisstack import interface as api
 
-LOAD_PAUSE = 0.2
+RETRY_PAUSE_PER_SENDER = 0.2
 """Seconds for each sender of a fleet, before its first renewed call after a failure; doubles with each."""
-MOST_DOUBLINGS = 4
+MAX_DOUBLINGS = 4
 START_SPREAD = 0.25
 """Of that pause, in which the senders of a fleet first ask."""
 NOTIFICATION_DEADLINE = 6.0
 """Seconds after which news of the list counts as told."""
-LAST_CALL = 5.0
+LATEST_CALL_START = 5.0
 """Seconds after which no call should have to begin that brings such news: its answer takes time as well."""
-TRIES_LEFT = 3.0
+CALLS_IN_TIME_LEFT = 3.0
 """The time that is left is shared out among so many further calls, since each of them may fail."""
-CROWDED_TRIES_LEFT = 1.5
+LARGE_FLEET_CALLS_IN_TIME_LEFT = 1.5
 """The same for a large fleet once a call was kept waiting: its service may answer that one yet."""
 ANSWER_OVERDUE_AFTER = 1.2
 """Seconds without an answer after which a call is told as failed; it may be answered yet."""
-SHORTEST_PAUSE = 0.15
-SHORTEST_PAUSE_EACH = 0.005
+MIN_PAUSE = 0.15
+MIN_PAUSE_PER_SENDER = 0.005
 """Seconds for each sender of a large fleet, so that it does not hammer its service."""
-LONGEST_PAUSE = 10.0
+DEFAULT_MAX_PAUSE = 10.0
 """Seconds between two calls where the settings do not tell how often to ask."""
-CONFIRMED_ANEW = 0.2
+CONFIRMATION_TOLERANCE = 0.2
 """Seconds by which the time of the last list has to move to be another one: what is less is lateness."""
-AT_ONCE = 0.2
+IMMEDIATE_FAILURE = 0.2
 """Seconds: a call that failed sooner was not kept waiting, so its service was not at work on it."""
 
 
@@ -43,78 +43,80 @@
     def __init__(self, settings: api.Settings, random: Random) -> None:
         """The pauses are drawn from `random`, the sender's own."""
         self._random = random
-        self._failures = self._waits = 0
+        self._failures = self._unanswered_calls = 0
         self._confirmed_at = -math.inf
-        self._unavailable_at = -math.inf
+        self._unavailable_until = -math.inf
         self.apply_settings(settings)
-        self.next_call_at = 0.0 if self._asks else math.inf
+        self.next_call_at = 0.0 if self._on_request else math.inf
         """When to ask, on the sender's clock; infinity while nothing is due."""
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Go by these settings from here on."""
-        self._asks = settings.discovery_on_request
+        self._on_request = settings.discovery_on_request
         self._senders = settings.senders
-        self._longest = settings.list_refresh_interval or LONGEST_PAUSE
+        self._max_pause = settings.list_refresh_interval or DEFAULT_MAX_PAUSE
 
     def started(self, now: float) -> None:
         """The process has just started with the list as it was last held."""
-        self._failures = self._waits = 0
-        if self._asks:
-            self.next_call_at = now + self._load_pause() * self._random.uniform(0.0, START_SPREAD)
+        self._failures = self._unanswered_calls = 0
+        if self._on_request:
+            self.next_call_at = now + self._retry_pause() * self._random.uniform(0.0, START_SPREAD)
 
     def succeeded(self) -> None:
         """A list or a change of it has come."""
-        self._failures = self._waits = 0
+        self._failures = self._unanswered_calls = 0
 
     def failed(self, now: float, update: api.EndpointsUpdated) -> None:
         """A call failed, a watch ended, or either has kept the sender waiting for too long."""
-        if not self._asks:
+        if not self._on_request:
             return
         confirmed_at = now - update.list_age
         # Failures are heard of some milliseconds late, by which a time reckoned back from them moves on. More
         # than that is a watch held since the last failure, or a move of the service: it makes the list older.
-        if abs(confirmed_at - self._confirmed_at) > CONFIRMED_ANEW:
+        if abs(confirmed_at - self._confirmed_at) > CONFIRMATION_TOLERANCE:
             self._confirmed_at = confirmed_at
-            self._failures = self._waits = 0
+            self._failures = self._unanswered_calls = 0
         if (
-            AT_ONCE < update.silent_for < update.list_age - AT_ONCE
+            IMMEDIATE_FAILURE < update.silent_for < update.list_age - IMMEDIATE_FAILURE
         ):  # a call that was not answered, and no watch
-            self._waits += 1
+            self._unanswered_calls += 1
         if update.silent_for == -math.inf:  # nobody can tell what was missed
-            pause = self._load_pause()
+            pause = self._retry_pause()
         else:
             # Reckoned from the last list that came: a failed call must not begin the 6 s of its news anew.
-            pause = min(self._load_pause(), self._news_pause(now, update.silent_for))
+            pause = min(self._retry_pause(), self._notification_pause(now, update.silent_for))
         self.next_call_at = now + pause * self._random.uniform(0.5, 1.5)
         self._failures += 1
 
-    def _load_pause(self) -> float:
+    def _retry_pause(self) -> float:
         """The pause that lets a service which works through calls in turn catch up with all senders."""
-        doubled = 2.0 ** min(self._failures, MOST_DOUBLINGS)
-        return min(LOAD_PAUSE * self._senders * doubled, self._longest)
+        factor = 2.0 ** min(self._failures, MAX_DOUBLINGS)
+        return min(RETRY_PAUSE_PER_SENDER * self._senders * factor, self._max_pause)
 
-    def _news_pause(self, now: float, unheard: float) -> float:
+    def _notification_pause(self, now: float, silent_for: float) -> float:
         """The longest pause with which news of now can still be had in time; infinity if none can be."""
         overdue = (
             now > self._confirmed_at + NOTIFICATION_DEADLINE
         )  # what was missed first; what came later is not
-        if overdue and unheard <= AT_ONCE:
-            self._unavailable_at = now  # no news could be had before
-        since = max(self._confirmed_at, self._unavailable_at) if overdue else self._confirmed_at
-        left = since + LAST_CALL - now
-        if LOAD_PAUSE * self._senders >= NOTIFICATION_DEADLINE:
-            return self._large_fleet_pause(left)
+        if overdue and silent_for <= IMMEDIATE_FAILURE:
+            self._unavailable_until = now  # no news could be had before
+        since = max(self._confirmed_at, self._unavailable_until) if overdue else self._confirmed_at
+        time_left = since + LATEST_CALL_START - now
+        if RETRY_PAUSE_PER_SENDER * self._senders >= NOTIFICATION_DEADLINE:
+            return self._large_fleet_pause(time_left)
         if now > since + NOTIFICATION_DEADLINE:
-            left += NOTIFICATION_DEADLINE
-        if left < LAST_CALL - NOTIFICATION_DEADLINE:
+            time_left += NOTIFICATION_DEADLINE
+        if time_left < LATEST_CALL_START - NOTIFICATION_DEADLINE:
             return math.inf
-        if unheard > AT_ONCE:  # so may the calls to come be
-            left -= ANSWER_OVERDUE_AFTER * max(0, int((left + AT_ONCE) / ANSWER_OVERDUE_AFTER) - 1)
-        return max(SHORTEST_PAUSE, left / TRIES_LEFT)
+        if silent_for > IMMEDIATE_FAILURE:  # so may the calls to come be
+            time_left -= ANSWER_OVERDUE_AFTER * max(
+                0, int((time_left + IMMEDIATE_FAILURE) / ANSWER_OVERDUE_AFTER) - 1
+            )
+        return max(MIN_PAUSE, time_left / CALLS_IN_TIME_LEFT)
 
-    def _large_fleet_pause(self, left: float) -> float:
+    def _large_fleet_pause(self, time_left: float) -> float:
         """The same for a fleet that cannot be served in time by a service that lets call after call wait."""
-        if left < LAST_CALL - NOTIFICATION_DEADLINE or self._waits > 1:
+        if time_left < LATEST_CALL_START - NOTIFICATION_DEADLINE or self._unanswered_calls > 1:
             return math.inf
-        tries = CROWDED_TRIES_LEFT if self._waits else TRIES_LEFT
-        return max(SHORTEST_PAUSE_EACH * self._senders, left / tries)
+        calls = LARGE_FLEET_CALLS_IN_TIME_LEFT if self._unanswered_calls else CALLS_IN_TIME_LEFT
+        return max(MIN_PAUSE_PER_SENDER * self._senders, time_left / calls)
