--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -1,7 +1,11 @@
-"""All decisions of irisstack. The interface (settings, events, actions) is in `irisstack/interface.py`.
+"""All decisions of a sender. The interface (settings, events, actions) is in `irisstack/interface.py`.
 
-A circuit breaker for each destination counts failures in a window and stays open until a time that lapses by
-itself; its spacing answers refusals and paces the return from an outage. `docs/design.md` has each rule.
+A circuit breaker for each destination counts failures in a window. It stays open until a set time and then
+closes by itself. It also spaces calls after refusals, and it paces the warm-up of a destination that recovers
+from an outage. `docs/design.md` has each rule.
+
+A destination refuses calls (`Outcome.FULL`) when it is busy, that is, at its rate limit, or when it is down.
+The breaker tells the two apart: only a destination that was down is warmed up.
 """
 
 from collections import Counter, deque
@@ -23,67 +27,79 @@
 from irisstack.interface import Effect, Outcome
 from irisstack.list_refresh import ListRefresh
 
-FAILURE_WINDOW = 10.0  # seconds in which failures are counted together
-FAILURE_THRESHOLD = 3  # the failure that opens
-GOSSIP_FAILURE_THRESHOLD = 6  # and the one of those that all senders are told of
-TOLERATED_FAILURE_RATIO = 0.25  # failures for each success in the window that do not open yet
-OPEN_DURATION = (
-    2.0  # seconds an opened breaker stays open: longer parks fill the holding room of a small sender
-)
-OUTAGE_AFTER = 3.0  # seconds of refusals with no call taken after which a destination counts as shut
-MAX_EVEN_SHARE_MULTIPLE = (
-    1.5  # times the even part of a told rate that one sender may take of a destination not back yet
-)
-BUSY_REMAINING_SHARE = (
-    0.75  # a share left under this explains a refusal: it is the limit, and the destination is not shut
-)
-LOW_REMAINING_SHARE = (
-    1.0 - BUSY_REMAINING_SHARE
-)  # a share left under this has calls spaced before any is refused
-SLOWDOWN_FACTOR = 1.5  # each further refusal stretches the gap between calls by this
-MAX_INITIAL_CALL_GAP = (
-    2.0  # where no rate is told: seconds between two calls after a refusal, at most, at first
-)
-BATCH_SLOWDOWN_RECOVERY = (
-    0.25  # part of a refusal's step that a success takes back where calls are shared; else all of it
-)
-WARMUP_BUDGET_MARGIN = 0.7  # part of the fail-back budget that is used: the capacity behind it is an estimate
-EXTRA_MESSAGE_WEIGHT = 0.2  # what each further message of a shared call weighs against the fail-back budget
-OVERDUE_LATENCY_MULTIPLE = 4.0  # a call is overdue after this many usual times
-OVERDUE_SLACK = 0.5  # and these seconds, so that jitter on quick calls does not count
-TIMEOUT_OVERDUE_MULTIPLE = 3.0  # a repeatable call is given up after this many times the overdue time
-MIN_CONNECTION_UTILIZATION = (
-    0.25  # of its time that a connection is in use, to be worth a place in an endpoint's table
-)
-CROSS_ZONE_PENALTY = 5.0  # calls out at an endpoint that another zone is worth, where crossing has a price
-NEW_CONNECTION_PENALTY = 0.75  # calls out at an endpoint that a connection already open is worth
-MIN_CONNECTION_TABLE_SIZE = 4  # idle connections for which any such table has room
-CROWDED_DURATION = (
-    30.0  # seconds after a failed connect at a live destination in which idle connections go back
-)
-LATENCY_EMA_WEIGHT = 0.1  # weight of a new call in the usual time
-INITIAL_LATENCY_SHARE = 0.2  # share of a class's aim taken for its usual time before any call was seen
-STALE_LOSS_THRESHOLD = (
-    3.0  # this many calls lost on idle connections: those idle as long are closed before a call
-)
-STALE_LOSS_RECOVERY = 0.4  # of a lost call is made good by one that succeeded on an idle connection
-MIN_IDLE_SHARE = 0.1  # of the keep-alive time; a connection idle for less says nothing
-DESTINATION_SLOT_DIVISOR = 3  # a destination holds at most one part in so many of the slots, two at least
-
-GOSSIP_FAILURE, GOSSIP_SUCCESS, GOSSIP_CROWDED = b"F", b"S", b"C"  # what notes to the other senders say
+FAILURE_WINDOW = 10.0
+"""Seconds over which failures and arrivals are counted, and for which a failed route is avoided."""
+FAILURE_THRESHOLD = 3
+"""Failures of a sender's own calls within the window that open the breaker."""
+GOSSIP_FAILURE_THRESHOLD = 6
+"""Failures announced by gossip, counted over all senders, that open the breaker."""
+TOLERATED_FAILURE_RATIO = 0.25
+"""Failures per success in the window below which errors do not open the breaker."""
+OPEN_DURATION = 2.0
+"""Seconds for which the breaker opens. Longer waits would use up the queue capacity of a small sender."""
+OUTAGE_AFTER = 3.0
+"""Seconds of refused calls with none accepted after which the destination counts as down and not as busy."""
+MAX_EVEN_SHARE_MULTIPLE = 1.5
+"""Even shares of a known rate that one sender may use until a call has succeeded after an outage."""
+BUSY_REMAINING_SHARE = 0.75
+"""Remaining share of a reported limit below which a refusal is due to that limit and not to an outage."""
+LOW_REMAINING_SHARE = 1.0 - BUSY_REMAINING_SHARE
+"""Remaining share of a reported limit below which calls are spaced before any is refused."""
+SLOWDOWN_FACTOR = 1.5
+"""Each further refusal lengthens the gap between calls by this factor."""
+MAX_INITIAL_CALL_GAP = 2.0
+"""Seconds: the longest gap between calls after a first refusal where no rate is known."""
+BATCH_SLOWDOWN_RECOVERY = 0.25
+"""Slowdown steps undone by a success where a call may carry a batch; elsewhere a success undoes one step."""
+WARMUP_BUDGET_MARGIN = 0.7
+"""Share of the warm-up budget that is used, because the capacity that it is based on is an estimate."""
+EXTRA_MESSAGE_WEIGHT = 0.2
+"""Weight of each further message of a batch call in the warm-up budget; the first one weighs 1."""
+OVERDUE_LATENCY_MULTIPLE = 4.0
+"""A call is overdue after its expected latency times this, plus `OVERDUE_SLACK`."""
+OVERDUE_SLACK = 0.5
+"""Seconds, so that jitter does not make short calls overdue."""
+TIMEOUT_OVERDUE_MULTIPLE = 3.0
+"""A repeatable message's attempt times out after the overdue time multiplied by this."""
+MIN_CONNECTION_UTILIZATION = 0.25
+"""Share of the time for which a connection must be in use to be worth an entry in a connection table."""
+CROSS_ZONE_PENALTY = 5.0
+"""Calls in flight that another zone counts as when a route is chosen, if cross-zone calls have a price."""
+NEW_CONNECTION_PENALTY = 0.75
+"""Calls in flight that opening a connection counts as when a route is chosen."""
+MIN_CONNECTION_TABLE_SIZE = 4
+"""Idle connections for which the connection table of any endpoint has room."""
+CROWDED_DURATION = 30.0
+"""Seconds for which idle connections are closed after a failed connect at a destination that is up."""
+LATENCY_EMA_WEIGHT = 0.1
+"""Weight of a new call in the exponential moving average of the latency."""
+INITIAL_LATENCY_SHARE = 0.2
+"""Expected latency before any call has succeeded, as a share of the class's latency target."""
+STALE_LOSS_THRESHOLD = 3.0
+"""Calls lost on idle connections after which connections idle for that long are closed before a call."""
+STALE_LOSS_RECOVERY = 0.4
+"""Lost calls that a success on an idle connection offsets, and that an unanswered overdue call counts as."""
+MIN_IDLE_SHARE = 0.1
+"""Share of the keep-alive time; connections idle for less say nothing about lost idle connections."""
+DESTINATION_SLOT_DIVISOR = 3
+"""A destination may hold this fraction (one third) of the call slots, and at least two."""
+
+GOSSIP_FAILURE, GOSSIP_SUCCESS, GOSSIP_CROWDED = b"F", b"S", b"C"
+"""First byte of a gossip message; the rest is the key of a breaker scope."""
 
 NOT_RUN_OUTCOMES = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+"""Outcomes after which the message has certainly not run at the endpoint."""
 
 
 def _max_outage_wait(settings: api.Settings) -> float:
-    """Seconds for which a message may wait for a destination that is down, a window at the least."""
-    if settings.may_gossip:  # the first success is told to all, which ends the wait
+    """Seconds for which a message may wait for a destination that is down; at least the failure window."""
+    if settings.may_gossip:  # the first success is announced to all senders, which ends the wait
         return FAILURE_WINDOW
     return max(FAILURE_WINDOW, *(message_class.deadline for message_class in settings.classes))
 
 
 class Sender:
-    """One sender's decisions. Give it everything that came together; carry out what it returns, in order."""
+    """Decides for one node: pass events that arrived together to `turn`, carry out its actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
@@ -96,32 +112,27 @@
         self._destination_by_address: dict[api.Address, int] = {}
         self._messages: dict[int, Message] = {}
         self._pending_count = self._calls_in_flight = 0
-        self._slots_per_destination = max(
-            2, settings.max_calls // DESTINATION_SLOT_DIVISOR
-        )  # that one destination may hold
+        self._slots_per_destination = max(2, settings.max_calls // DESTINATION_SLOT_DIVISOR)
         self._max_outage_wait = _max_outage_wait(settings)
-        self._crowded_until = 0.0  # until when idle connections are given back
-        self._stale_losses = 0.0  # calls lost on idle connections, less a part of such calls that succeeded
-        self._shortest_lost_idle = NEVER  # the shortest idle time before such a loss
-        self._home_zone = (
-            settings.zone if settings.cross_zone_price else None
-        )  # the zone to which calls cost less
-        self._active_queues: dict[
-            DestinationQueue, None
-        ] = {}  # lines with messages in them, in order of arrival
-        self._expiry_heap: list[tuple[float, int]] = []
-        self._overdue_heap: list[tuple[float, int, Call]] = []
-        self._stuck_calls: list[Call] = []  # overdue at a silent destination, oldest first
+        self._crowded_until = 0.0  # until when idle connections are closed
+        self._stale_losses = 0.0  # calls lost on idle connections, less the part offset by successes on such
+        self._shortest_lost_idle = NEVER  # the shortest idle time after which a call was lost, in seconds
+        # The zone to which calls cost less; None if all zones cost the same.
+        self._home_zone = settings.zone if settings.cross_zone_price else None
+        self._active_queues: dict[DestinationQueue, None] = {}  # not empty, in order of arrival
+        self._expiry_heap: list[tuple[float, int]] = []  # latest attempt start, message
+        self._overdue_heap: list[tuple[float, int, Call]] = []  # when overdue, tie-breaker, call
+        self._stuck_calls: list[Call] = []  # overdue calls, oldest first
         self._sequence = self._timer_token = 0
-        self._messages_by_key: dict[int, deque[Message]] = {}
-        self._order_pauses: list[tuple[float, int]] = []
+        self._messages_by_key: dict[int, deque[Message]] = {}  # by ordering key, in order of arrival
+        self._order_pauses: list[tuple[float, int]] = []  # heap: end of the pause, ordering key
         self._list_refresh = ListRefresh(settings, self._random)
         self._timer_at = NEVER
 
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
-        """Take all that came at one time and answer with what to do about it."""
+        """Process all events that arrived together and return the resulting actions."""
         self._now, self._actions = now, []
-        changed = not events  # whether anything, if only time, may have changed what goes when
+        changed = not events  # whether calls may go now that could not before; a turn without events: by time
         for event in events:
             changed |= not isinstance(event, api.PeerMessage) or self._receive_gossip(event.data)
             match event:
@@ -151,7 +162,7 @@
         return self._actions
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Decide by other settings from here on; messages that are held keep the terms of their class."""
+        """Use other settings from now on; pending messages keep the terms of their class."""
         self._settings, self._slots_per_destination = (
             settings,
             max(2, settings.max_calls // DESTINATION_SLOT_DIVISOR),
@@ -168,11 +179,14 @@
     def _record_failure(
         self, scope: BreakerScope, outcome: Outcome | None, from_gossip: bool = False
     ) -> bool:
-        """Count a refusal or an error; the third in the window opens the breaker. Returns whether it did."""
+        """Count a failed call and open the breaker at the threshold; returns whether it opened.
+
+        `outcome` is None if the call was not answered, or if another sender announced the failure.
+        """
         now, gossip_enabled = self._now, self._settings.may_gossip
         breaker = self._breakers.setdefault(scope, CircuitBreaker())
         if now < breaker.open_until:
-            return False  # landing while open: neither counts nor extends
+            return False  # calls that end while the breaker is open neither count nor extend the opening
         if now >= breaker.window_end:
             breaker.failures, breaker.gossip_failures, breaker.successes, breaker.window_end = (
                 0,
@@ -186,11 +200,12 @@
             breaker.gossip_failures += 1
             if not from_gossip:
                 self._broadcast_gossip(GOSSIP_FAILURE, scope)
-        # Few errors among many successes (a lossy path, one failing class) must not shut the rest out.
+        # A few errors among many successes (packet loss, one failing class) must not block other messages.
         tolerated = (
             outcome is not Outcome.FULL and breaker.failures < breaker.successes * TOLERATED_FAILURE_RATIO
         )
-        # One of many senders has too few calls in a window to see the third: what may have run opens sooner.
+        # One of many senders makes too few calls in a window to see the third failure, so its breaker opens
+        # sooner if the message may have run.
         threshold_cap = (
             FAILURE_THRESHOLD
             if outcome in NOT_RUN_OUTCOMES or gossip_enabled
@@ -214,7 +229,7 @@
         return False
 
     def _extend_open(self, breaker: CircuitBreaker, destination: Destination, until: float) -> None:
-        """Move the open-until time; messages that cannot wait for it are given up at once."""
+        """Keep the breaker open until at least `until`; give up queued messages that cannot wait for it."""
         breaker.open_until = max(breaker.open_until, until)
         self._randomize_warmup_start(breaker)
         if self._is_new_outage(breaker):
@@ -224,23 +239,24 @@
                 self._give_up(message)
 
     def _randomize_warmup_start(self, breaker: CircuitBreaker) -> None:
-        """Take one of as many places in the first gap of the fail-back budget as there are senders."""
-        # Many senders that are told one close, or one success, would all call at it.
+        """Place the first call of the warm-up at random in its gap, on one of as many points as senders."""
+        # Many senders learn of the same success, or the same closing time, and would all call at once.
         breaker.warmup_budget_used = self._random.randrange(n := self._settings.senders) / n - 1.0
         breaker.warmup_budget_since = max(self._now, breaker.open_until)
 
     def _is_new_outage(self, breaker: CircuitBreaker) -> bool:
-        """Whether calls were turned away, or are put off, for longer than a busy destination refuses all."""
-        few_calls = (
-            not self._settings.may_gossip and breaker.next_call_at >= self._now + FAILURE_WINDOW
-        )  # few calls
+        """Whether calls are refused, or held back, for longer than a busy destination refuses all calls."""
+        few_calls = not self._settings.may_gossip and breaker.next_call_at >= self._now + FAILURE_WINDOW
         held_until = max(breaker.open_until, breaker.next_call_at) if few_calls else breaker.open_until
         since = self._now if self._settings.may_gossip else breaker.unavailable_since
         return breaker.cold_until < NEVER and max(self._now, held_until) > since + OUTAGE_AFTER
 
     def _record_success(self, scope: BreakerScope, limit_is_low: bool) -> None:
-        """A call that ended well takes back part of the slowing; the spacing lapses once nothing waits."""
-        # Little left of a limit begins it: many senders reach it together, with too few calls each to see it.
+        """Undo part of the slowdown after a successful call; the spacing ends once nothing is queued.
+
+        A low remaining share of a reported limit starts the spacing: many senders use the limit up together,
+        and each makes too few calls to notice.
+        """
         breaker = self._breakers.get(scope) or CircuitBreaker()
         breaker.successes, breaker.unavailable_since = breaker.successes + 1, NEVER
         recovered = breaker.cold_until == NEVER and self._now >= breaker.open_until
@@ -248,14 +264,15 @@
             self._broadcast_gossip(GOSSIP_SUCCESS, scope)
             breaker.failures, breaker.gossip_failures = breaker.failures - breaker.gossip_failures, 0
         if recovered:
+            # Refusals during an outage do not show a limit, nor failed connects a full connection table.
             breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
-            scope.connect_failed_at.clear()  # a shut one shows no limit, one that was down no full table
+            scope.connect_failed_at.clear()
         if limit_is_low:
             self._breakers[scope] = breaker
             breaker.slowdown_steps = max(breaker.slowdown_steps, 1.0)
         elif breaker.slowdown_steps:
             has_queued = any(queue in self._active_queues for queue in scope.destination.queues.values())
-            batched = scope.destination.kind.max_batch > 1  # what waits goes with the next call, however late
+            batched = scope.destination.kind.max_batch > 1  # a later call takes the queued messages with it
             breaker.slowdown_steps = max(
                 float(has_queued), breaker.slowdown_steps - (BATCH_SLOWDOWN_RECOVERY if batched else 1.0)
             )
@@ -265,7 +282,7 @@
             self._actions.append(api.TellPeer(None, gossip_type + scope.gossip_key))
 
     def _receive_gossip(self, data: bytes) -> bool:
-        """A note: a failure counts, a success ends their run. Returns whether this changes what may go."""
+        """Count a failure, or reset the count after a success; returns whether calls may now go otherwise."""
         gossip_type, scope = data[:1], self._scopes_by_key.get(data[1:])
         if gossip_type == GOSSIP_CROWDED:
             self._crowded_until = self._now + CROWDED_DURATION
@@ -286,14 +303,13 @@
         )
         if breaker.cold_until == NEVER:
             breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
-            self._randomize_warmup_start(
-                breaker
-            )  # what was saved up before the success would leave all at once
+            # Budget that was saved up before the success would release all senders' calls at once.
+            self._randomize_warmup_start(breaker)
             return True
         return False
 
     def _route_available_at(self, route: Route) -> float:
-        """The earliest time at which a call may go there. Closed, empty breakers are dropped here."""
+        """Earliest time at which a call may go to the route. Deletes a closed breaker without counts."""
         breaker = self._breakers.get(route.breaker_scope)
         if breaker is None:
             return 0.0
@@ -310,23 +326,27 @@
         )
 
     def _warmup_available_at(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
-        """When enough of the fail-back budget is saved up for what the next call will weigh."""
+        """When the warm-up budget has grown to the weight of the next call."""
         queued = sum(len(queue.on_time) + len(queue.late) for queue in scope.destination.queues.values())
         batch_size = min(queued, self._max_batch_size(breaker, scope.destination.kind))
         weight = breaker.warmup_budget_used + 1.0 + EXTRA_MESSAGE_WEIGHT * max(0, batch_size - 1)
         return breaker.warmup_budget_since + weight / self._warmup_rate(breaker, scope)
 
     def _max_batch_size(self, breaker: CircuitBreaker, kind: api.DestinationKind) -> int:
-        """How many messages a call may carry: one until a call has succeeded, unless all were turned away."""
+        """Most messages in a call: one until a call succeeds after an outage, unless calls are refused."""
         return 1 if breaker.cold_until == NEVER and breaker.unavailable_since == NEVER else kind.max_batch
 
     def _queue_available_at(self, queue: DestinationQueue) -> float:
-        """The earliest time at which a call may go to any route that a line's messages may use."""
+        """Earliest time at which a call may go to any route that the queue's messages may use."""
         return min((self._route_available_at(route) for route in queue.routes()), default=NEVER)
 
     def _rate_share(self, scope: BreakerScope) -> float:
-        """This sender's part of the calls a second told for all: its own flow's, the even part at least."""
-        # Guards a limit on calls: a flow of messages that are told one by one would take it many times over.
+        """This sender's part of the destination's calls per second: by its arrivals, at least an even share.
+
+        Where no rate is known, by its arrivals alone.
+        """
+        # The known rate limits calls. Arrivals are messages, and a batch call carries several:
+        # counted one by one, they would take the limit many times over.
         arrival_rate, known_rate = self._arrival_rate(scope), scope.reported_limit or scope.listed_rate
         own_call_rate = arrival_rate / scope.destination.kind.max_batch
         return min(known_rate, max(own_call_rate, known_rate / self._settings.senders)) or max(
@@ -334,35 +354,38 @@
         )
 
     def _arrival_rate(self, scope: BreakerScope) -> float:
-        """This sender's messages a second for what shares one limit."""
+        """Messages per second that arrive at this sender for the scope."""
         destination = scope.destination
         return destination.arrival_rate / max(
             1, len(destination.routes) if destination.kind.separate_routes else 1
         )
 
     def _schedule_next_call(self, scope: BreakerScope) -> None:
-        """Note a call: evenly spaced after refusals, charged to the budget while cold."""
+        """Set when the next call may go: a gap from now after refusals, by the budget during warm-up."""
         breaker, jitter = self._breakers.get(scope) or CircuitBreaker(), self._random.uniform(1.0, 1.1)
-        # A gap that is no part of a told rate is spread: all that were refused together would meet again.
+        # A gap that does not come from a known rate gets more jitter; otherwise senders that were refused
+        # together would call together again.
         spread = jitter if scope.reported_limit or scope.listed_rate else self._random.uniform(0.5, 1.5)
         breaker.next_call_at = self._now + spread * self._call_gap(breaker, scope)
         breaker.warmup_budget_used, breaker.warmup_budget_since = jitter - 1.0, self._now
 
     def _call_gap(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
-        """Seconds between two calls of this sender while refusals have them spaced."""
+        """Seconds between two calls of this sender while they are spaced after refusals."""
         max_gap = NEVER if scope.reported_limit or scope.listed_rate else MAX_INITIAL_CALL_GAP
         return float(SLOWDOWN_FACTOR ** max(0.0, breaker.slowdown_steps - 1.0)) * min(
             1.0 / self._rate_share(scope), max_gap
         )
 
     def _warmup_rate(self, breaker: CircuitBreaker, scope: BreakerScope) -> float:
-        """This sender's part of the calls a second that a destination coming back can bear by now."""
+        """This sender's share of the calls per second that a recovering destination can take by now."""
         progress = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.warmup_seconds or 1.0))
         capacity = self._settings.warmup_start_share + (1.0 - self._settings.warmup_start_share) * progress
         rate = self._rate_share(scope)
-        if breaker.cold_until == NEVER:  # a hot destination: all flows together may be far above its limit
+        if breaker.cold_until == NEVER:
+            # No call has succeeded yet. At a popular destination, the arrivals at all senders together may be
+            # far above its limit. Each sender with a queued message takes a share, and the queues hold what
+            # arrived during a message's whole lifetime.
             even_share = (scope.reported_limit or scope.listed_rate or NEVER) / self._settings.senders
-            # Each sender with a message in line takes a part; the lines hold what came in a message's life.
             rate = min(
                 self._arrival_rate(scope),
                 max(1.0 / self._max_outage_wait, MAX_EVEN_SHARE_MULTIPLE * even_share),
@@ -404,13 +427,13 @@
             self._shed_load()
 
     def _expected_latency(self, message: Message) -> float:
-        """How long a call of this class takes at this destination."""
+        """Expected duration of a call with a message of this class to this destination, in seconds."""
         return self._get_destination(message.destination).latency_ema.get(
             message.class_index, message.message_class.latency_target * INITIAL_LATENCY_SHARE
         )
 
     def _repeatable_until(self, message: Message) -> float:
-        """Until when another attempt, or a refusal, cannot double the message's effect."""
+        """Until when neither another attempt nor a refusal to the client can double the message's effect."""
         message_class = message.message_class
         if message.may_have_run_at is None or message_class.effect is Effect.SAFE:
             return NEVER
@@ -421,20 +444,21 @@
         return message.may_have_run_at + message_class.dedup_window
 
     def _may_refuse(self, message: Message) -> bool:
-        """Whether its client may hand it in again: one that a single zone knows it may take to another."""
+        """Whether the client may submit the message again; it may do so in a zone that does not know it."""
         return self._now < self._repeatable_until(message) and not (
             message.zone_scoped_dedup and message.may_have_run_at
         )
 
     def _latest_attempt_start(self, message: Message) -> float:
-        """The last time at which a further attempt is allowed and a usual call still fits."""
+        """Latest time at which another attempt is allowed and a call of the expected latency still fits."""
+        # The attempt has to be repeatable when its request is written, which is after the connect.
         latest_repeat = (
             self._repeatable_until(message) - self._settings.connect_timeout - self._settings.clock_resolution
-        )  # as it leaves
+        )
         return min(message.due - self._expected_latency(message), latest_repeat)
 
     def _enqueue(self, message: Message) -> None:
-        """Put a message in line at its destination, unless it cannot wait for the close."""
+        """Queue a message at its destination; give it up if it cannot wait until the breaker closes."""
         if message.attempts >= self._settings.max_attempts or self._too_late_to_send(message):
             self._give_up(message)
         else:
@@ -444,24 +468,25 @@
             self._active_queues[queue] = None
 
     def _queue_for(self, message: Message) -> DestinationQueue:
-        """Where a message waits: once it may have run, for the zone that drops its repeats."""
+        """Queue for any zone; for a message that may have run, the zone that drops its repeats."""
         return self._get_destination(message.destination).queue(
             message.may_have_run_zone if message.zone_scoped_dedup else None
         )
 
     def _too_late_to_send(self, message: Message) -> bool:
-        """Whether a usual call fits neither now nor after the close."""
+        """Whether a call of the expected latency fits neither now nor once the breaker closes."""
         return max(self._now, self._earliest_close(message)) > self._latest_attempt_start(message)
 
     def _earliest_close(self, message: Message) -> float:
-        """When the first of the message's routes closes again; no endpoint yet is no reason to refuse."""
+        """When the first breaker of the message's routes closes; 0 without a route, since one may come."""
         breakers = [self._breakers.get(route.breaker_scope) for route in self._queue_for(message).routes()]
         return min((breaker.open_until if breaker else 0.0 for breaker in breakers), default=0.0)
 
     def _give_up(self, message: Message) -> None:
-        """The final answer, at once, for a message that will not be sent again: a refusal where allowed."""
+        """Give the final answer for a message that is not sent again: a refusal if the client may retry."""
         if self._may_refuse(message):
-            # At its turn there; one that may have run while it is known there, so at the close.
+            # The client is told when a call may go. If the message may have run, it is told when the breaker
+            # closes, so that it retries while the endpoint still recognizes the message.
             retry_at = (
                 self._queue_available_at(self._queue_for(message))
                 if message.may_have_run_at is None
@@ -484,7 +509,10 @@
             self._remove_message(message)
 
     def _remove_message(self, message: Message) -> None:
-        """Drop a message that is over and has no attempt out; the next of its key takes its turn."""
+        """Drop a finished message with no attempt in flight and start the next one of its ordering key.
+
+        If the last attempt may still be running at the endpoint, the next message waits for the order pause.
+        """
         del self._messages[message.id]
         if message.ordering_key is None:
             return
@@ -497,7 +525,7 @@
             self._start_next_of_key(message.ordering_key)
 
     def _start_next_of_key(self, key: int) -> None:
-        """Order by key: one message at a time, and a rest after an attempt that may run on."""
+        """Queue the next message of an ordering key; only one of them at a time is queued or in flight."""
         key_queue = self._messages_by_key[key]
         key_queue.popleft()
         if key_queue:
@@ -506,7 +534,10 @@
             del self._messages_by_key[key]
 
     def _shed_load(self) -> None:
-        """At the holding limit, refuse the unsent message with least at stake before one is turned away."""
+        """At the limit on pending messages, refuse the queued message that loses least by it.
+
+        This leaves room, so that the intake need not reject new messages.
+        """
         queued = [m for m in self._messages.values() if m.queued]
         counts = Counter(m.destination for m in queued)
         drain_times = {
@@ -514,9 +545,8 @@
         }
 
         def shed_priority(message: Message) -> tuple[bool, float, float, float, int]:
-            drain_time = drain_times[
-                message.destination
-            ]  # one that would fail only if none is left that may come again
+            # Messages that would fail, because their client may not retry, come last.
+            drain_time = drain_times[message.destination]
             preferred = drain_time > 0.0 and self._may_refuse(message)
             return preferred, drain_time, -message.message_class.worth, message.latency_target_at, message.id
 
@@ -524,8 +554,9 @@
             self._give_up(max(queued, key=shed_priority))
 
     def _queue_drain_time(self, destination: Destination, count: int) -> float:
-        """How long so many messages for it will be in line, at the pace that holds there now."""
-        # Guards a healthy destination with small calls: unpaced, its line is over before that of a shut one.
+        """Seconds until `count` messages queued for the destination are sent at the current pace."""
+        # The time of the calls counts even if they are not spaced: a healthy destination with small batches
+        # drains its queue sooner than one that is down, and keeps its messages.
         available_at, calls = (
             self._queue_available_at(destination.queue(None)),
             -(-count // destination.kind.max_batch),
@@ -546,7 +577,7 @@
         return max(0.0, available_at - self._now) + max(paced_time, calls * time_per_call)
 
     def _expire_messages(self) -> None:
-        """Give up messages for which a usual call no longer fits."""
+        """Give up messages for which a call of the expected latency no longer fits."""
         while self._expiry_heap and self._expiry_heap[0][0] < self._now:
             message = self._messages.get(heappop(self._expiry_heap)[1])
             if message is not None and message.queued:
@@ -577,7 +608,7 @@
         self._record_outcome(message, call, event)
         message.call = None
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            message.order_pause_until = self._now + self._settings.order_pause
+            message.order_pause_until = self._now + self._settings.order_pause  # it may still be running
         if message.finished:
             self._remove_message(message)
         elif event.final:
@@ -588,13 +619,15 @@
         if not call.open_attempts and (
             self._now < self._crowded_until or not self._should_keep_connection(message)
         ):
-            # Guards against tables full of many senders' idle connections; at an outage it costs handshakes.
+            # Idle connections of many senders would fill the connection tables of endpoints. During an outage
+            # closing them costs handshakes.
             self._actions.append(api.CloseIdle(call.route.address))
             call.route.connections = call.route.calls_in_flight
 
     def _record_outcome(self, message: Message, call: Call, event: api.AttemptEnded) -> None:
-        """What an outcome shows of its destination. A shared call has one fate and counts once."""
+        """Learn about the destination from an outcome; that of a batch call counts once."""
         route, scope, outcome, now = call.route, call.route.breaker_scope, event.outcome, self._now
+        # x0: share of the limit that remains; x1: the limit, in calls per second.
         report = dict(zip(self._settings.report_fields, event.report, strict=False))
         scope.reported_limit = max(0.0, report.get("x1", scope.reported_limit))
         if outcome in (Outcome.OK, Outcome.FULL):
@@ -611,12 +644,13 @@
             if outcome in (Outcome.OK, Outcome.RESET):
                 self._record_idle_result(call, -STALE_LOSS_RECOVERY if outcome is Outcome.OK else 1.0)
             if outcome is Outcome.OK:
-                # A gap beyond the aim would cost more than the refusals that it spares.
+                # A gap longer than the latency target would cost more than the refusals that it avoids.
                 limit_is_low = scope.reported_limit > 0.0 and report.get("x0", 1.0) < LOW_REMAINING_SHARE
                 self._record_success(
                     scope,
                     limit_is_low and self._rate_share(scope) * message.message_class.latency_target >= 1.0,
                 )
+                # The destination is up, so an earlier failed connect was due to a full connection table.
                 failed_at = scope.connect_failed_at.get(route, NEVER)
                 if call.sent_at >= failed_at and self._crowded_until < failed_at + CROWDED_DURATION:
                     self._crowded_until = failed_at + CROWDED_DURATION
@@ -628,8 +662,9 @@
                     scope.connect_failed_at[route] = now
                 if outcome in NOT_RUN_OUTCOMES:
                     breaker = self._breakers.setdefault(scope, CircuitBreaker())
-                    # One of many senders sees few calls taken. A limit that reports itself used up counts
-                    # like one, unless the wait is too long for it; a wait with it unused tells of a shut one.
+                    # One of many senders sees few accepted calls. A report that the limit is in use counts as
+                    # one, unless the wait is too long for a limit. A wait while the limit is unused shows an
+                    # outage.
                     remaining_share = report.get("x0", 0.0) if scope.reported_limit else 0.0
                     limit_in_use = (
                         0.0 < remaining_share < BUSY_REMAINING_SHARE
@@ -644,7 +679,8 @@
                         breaker.unavailable_since = -NEVER
                     breaker.slowdown_steps += outcome is Outcome.FULL
                 self._schedule_next_call(scope)
-                # A connect without an answer is silence: the host is gone. A full table says no at once.
+                # A connect without an answer counts as silence: the host is gone. With a full connection
+                # table it would refuse at once.
                 host_gone = (
                     outcome is Outcome.CONNECT_FAILED and event.elapsed >= self._settings.connect_timeout
                 )
@@ -653,23 +689,25 @@
         explained_by_limit = (
             report.get("x0", 1.0) < BUSY_REMAINING_SHARE
             and scope.last_success_sent_at >= now - FAILURE_WINDOW
-        )  # by a limit used up
+        )
         if event.retry_after:
             self._breakers[scope] = breaker
             self._extend_open(
                 breaker, scope.destination, now + event.retry_after + self._settings.clock_resolution
             )
         elif outcome is Outcome.FULL and not explained_by_limit and self._is_new_outage(breaker):
-            self._extend_open(
-                breaker, scope.destination, now
-            )  # an opening of no length: only the return is paced
+            # An opening of zero length: it only paces the warm-up.
+            self._extend_open(breaker, scope.destination, now)
 
     def _avoid_route(self, call: Call) -> None:
-        """Prefer other endpoints for a window; a class that succeeds here meanwhile is out of it."""
+        """Prefer other routes for a window. A success or refusal on this one lifts it for a message class."""
         call.route.avoid_until = dict.fromkeys(range(len(self._settings.classes)), self._now + FAILURE_WINDOW)
 
     def _record_idle_result(self, call: Call, weight: float) -> None:
-        """Learn after how long the path drops idle connections, losing calls; a mistake costs handshakes."""
+        """Learn from lost calls after which idle time the network drops connections.
+
+        A wrong conclusion costs handshakes.
+        """
         if (
             call.connection_idle > self._settings.keepalive * MIN_IDLE_SHARE
             and self._stale_losses < STALE_LOSS_THRESHOLD
@@ -679,8 +717,8 @@
                 self._shortest_lost_idle = min(self._shortest_lost_idle, call.connection_idle)
 
     def _detect_silence(self) -> None:
-        """A call long overdue counts as a failure before it ends, unless the destination answered since."""
-        # Guards against silence (hung, vanished); a few very slow messages do not count where others go well.
+        """Count an overdue call as a failure before it ends, unless the destination answers later calls."""
+        # Detects hosts that hang or vanish; a few very slow messages do not count while others succeed.
         while self._overdue_heap and self._overdue_heap[0][0] <= self._now:
             call = heappop(self._overdue_heap)[2]
             answers_others = call.route.breaker_scope.last_success_sent_at > call.sent_at
@@ -728,20 +766,20 @@
             )
 
     def _remove_endpoint(self, address: api.Address) -> None:
-        """Draining or gone: nothing new goes there from this turn on."""
+        """Send no more calls to an endpoint that is draining or gone, from this turn on."""
         if address in self._destination_by_address:
             del self._destinations[self._destination_by_address.pop(address)].routes[address]
 
     # ---- sending ----
 
     def _dispatch(self) -> float:
-        """Send what may go, the most pressing first; returns when to look again."""
+        """Make the calls that may go, in the order of their ranks; returns when to dispatch again."""
         ranked: list[tuple[bool, float, int, DestinationQueue]] = []
         next_at = min((self._rank_queue(ranked, queue) for queue in list(self._active_queues)), default=NEVER)
         while ranked and self._calls_in_flight < self._settings.max_calls:
             queue = heappop(ranked)[-1]
             if queue.destination.calls_in_flight < self._slots_per_destination:
-                if self._queue_available_at(queue) <= self._now:  # another line may have taken the turn
+                if self._queue_available_at(queue) <= self._now:  # a call of another queue may have moved it
                     self._send_call(queue)
                 next_at = min(next_at, self._rank_queue(ranked, queue))
         if ranked and self._settings.may_cancel and self._calls_in_flight >= self._settings.max_calls:
@@ -751,7 +789,7 @@
     def _rank_queue(
         self, ranked: list[tuple[bool, float, int, DestinationQueue]], queue: DestinationQueue
     ) -> float:
-        """Rank a line's next call; returns when it may go, if that is later."""
+        """Push the queue's next call onto the heap by its rank; returns when it may go, if that is later."""
         rank, available_at = self._head_rank(queue), self._queue_available_at(queue)
         if rank is None:
             del self._active_queues[queue]
@@ -763,8 +801,10 @@
         return NEVER
 
     def _cancel_stuck_calls(self, slots_wanted: int) -> None:
-        """Cut calls stuck at silent destinations when others need their slots, repeatable ones first."""
-        # Guards against slots full of calls that wait for their deadline. Could lose an answer still to come.
+        """Cancel calls to silent destinations when others need their slots, repeatable ones first.
+
+        Otherwise calls that wait for their deadline could take all slots. This may lose an answer to come.
+        """
         by_unsafe_messages = sorted(
             self._stuck_calls, key=lambda c: sum(m.message_class.effect is Effect.UNSAFE for m in c.messages)
         )
@@ -783,7 +823,10 @@
                 )
 
     def _head_rank(self, queue: DestinationQueue) -> tuple[bool, float] | None:
-        """The rank of the next call: in time before late, then by slot time for each unit of worth."""
+        """Rank of the queue's next call: on time before late, then by slot time per unit of worth.
+
+        Moves messages that will miss their latency target from `on_time` to `late`.
+        """
         batch_size = min(queue.destination.kind.max_batch, len(queue.on_time) + len(queue.late))
         for entries, is_late in ((queue.on_time, False), (queue.late, True)):
             while entries:
@@ -804,7 +847,7 @@
         return None
 
     def _send_call(self, queue: DestinationQueue) -> None:
-        """Make one call."""
+        """Make one call with messages of the queue."""
         now, calls_per_connection, destination = (
             self._now,
             self._settings.calls_per_connection,
@@ -817,7 +860,7 @@
             penalty = CROSS_ZONE_PENALTY * (route.zone != self._home_zone) + (
                 0.0 if self._has_free_connection(route) else NEW_CONNECTION_PENALTY
             )
-            # Of equals any: every sender has the list in one order, and all would take the first.
+            # Random tie-break: all senders have the list in the same order and would take the first one.
             return (
                 route.avoid_until.get(class_index, 0.0) > now,
                 route.calls_in_flight + penalty,
@@ -826,7 +869,7 @@
 
         route = min(routes, key=cost)
         breaker = self._breakers.get(route.breaker_scope) or CircuitBreaker()
-        unproven = breaker.cold_until == NEVER
+        unproven = breaker.cold_until == NEVER  # no call has succeeded since the outage
         call, max_messages, overdue_after = (
             Call(route, now),
             self._max_batch_size(breaker, destination.kind),
@@ -838,7 +881,7 @@
             self._stale_losses >= STALE_LOSS_THRESHOLD
             and now - route.all_in_use_at >= self._shortest_lost_idle
         ):
-            # Something on the path drops idle connections early, and the next call there is lost.
+            # The network drops connections that are idle for this long, and a call on one would be lost.
             self._actions.append(api.CloseIdle(route.address))
             route.connections = route.calls_in_flight // calls_per_connection + 1
         else:
@@ -869,10 +912,14 @@
         self._schedule_next_call(route.breaker_scope)
 
     def _should_keep_connection(self, message: Message) -> bool:
-        """Whether its next call comes so soon that a connection earns its place in the endpoint's table."""
-        # Guards against tables full of idle connections: who holds one is not turned away and never learns.
+        """Whether the next call comes soon enough for a connection to be worth its connection table entry.
+
+        An idle connection may take the entry of a sender whose connect then fails. Its owner is never refused
+        and so never learns that the table is full.
+        """
         destination, senders = self._get_destination(message.destination), self._settings.senders
-        if self._settings.may_gossip or any(  # a sender that is turned away tells of it, or one may go now
+        # With gossip a sender that is refused announces it. Without, a queued call that may go now is enough.
+        if self._settings.may_gossip or any(
             queue in self._active_queues and self._queue_available_at(queue) <= self._now
             for queue in destination.queues.values()
         ):
@@ -881,19 +928,17 @@
         return senders * (1.0 - utilization) <= MIN_CONNECTION_TABLE_SIZE
 
     def _has_free_connection(self, route: Route) -> bool:
-        """Whether a connection is believed free there: a new one costs time and has a price."""
+        """Whether a connection is believed to be free: opening one takes time and has a price."""
         if self._now - route.all_in_use_at > self._settings.keepalive:
             route.connections = -(-route.calls_in_flight // self._settings.calls_per_connection)
         return route.calls_in_flight < route.connections * self._settings.calls_per_connection
 
     def _take_message(self, queue: DestinationQueue, unproven: bool) -> Message:
-        """The next message to send. On an unproven destination one that may be repeated goes first."""
+        """Remove and return the next message; a repeatable one until a call succeeds after an outage."""
         for message in queue.queued_messages() if unproven else ():
             if message.message_class.effect is not Effect.UNSAFE:
-                for entries in (
-                    queue.on_time,
-                    queue.late,
-                ):  # it leaves its place: it may be held to a zone next
+                # Its entry is removed now, because the message may move to the queue of a zone next.
+                for entries in (queue.on_time, queue.late):
                     entries[:] = sorted(entry for entry in entries if entry[-1] is not message)
                 return message
         return heappop(queue.on_time or queue.late)[-1]
--- a/irisstack/list_refresh.py
+++ b/irisstack/list_refresh.py
@@ -1,9 +1,9 @@
-"""Decides when a node asks for the endpoint list again after a call for it has failed.
+"""Decides when a node requests the endpoint list again after a call for it has failed.
 
-A change of the list counts as told `NOTIFICATION_DEADLINE` seconds after its service had it, whatever became
-of the calls that should have brought it. So what bounds the next call is the time since the list was last
-known to be the newest, and not how the last call failed. Only once that time is over do pauses grow as the
-service needs it to work off its queue.
+An update of the list counts as notified `NOTIFICATION_DEADLINE` seconds after the discovery service had it,
+whatever happened to the calls that should have brought it. So the time of the next call depends on when the
+list was last known to be the newest, and not on how the last call failed. Only after the deadline do pauses
+grow, so that the service can work off its queue.
 """
 
 import math
@@ -12,58 +12,59 @@
 from irisstack import interface as api
 
 RETRY_PAUSE_PER_SENDER = 0.2
-"""Seconds for each sender of a fleet, before its first renewed call after a failure; doubles with each."""
+"""Seconds per sender of the fleet: the pause before the first retry. It doubles with each further failure."""
 MAX_DOUBLINGS = 4
 START_SPREAD = 0.25
-"""Of that pause, in which the senders of a fleet first ask."""
+"""Share of that pause over which senders spread their first call after a start."""
 NOTIFICATION_DEADLINE = 6.0
-"""Seconds after which news of the list counts as told."""
+"""Seconds after which an update of the list counts as notified."""
 LATEST_CALL_START = 5.0
-"""Seconds after which no call should have to begin that brings such news: its answer takes time as well."""
+"""Seconds after an update by which the call that brings it has to start, since its answer takes time too."""
 CALLS_IN_TIME_LEFT = 3.0
-"""The time that is left is shared out among so many further calls, since each of them may fail."""
+"""Further calls among which the time left is divided, since each of them may fail."""
 LARGE_FLEET_CALLS_IN_TIME_LEFT = 1.5
-"""The same for a large fleet once a call was kept waiting: its service may answer that one yet."""
+"""The same for a large fleet once a call was kept waiting: the service may still answer that call."""
 ANSWER_OVERDUE_AFTER = 1.2
-"""Seconds without an answer after which a call is told as failed; it may be answered yet."""
+"""Seconds without an answer after which a call is reported as failed. It may still be answered."""
 MIN_PAUSE = 0.15
+"""Seconds between two calls."""
 MIN_PAUSE_PER_SENDER = 0.005
-"""Seconds for each sender of a large fleet, so that it does not hammer its service."""
+"""Seconds per sender of a large fleet, so that it does not overload its service."""
 DEFAULT_MAX_PAUSE = 10.0
-"""Seconds between two calls where the settings do not tell how often to ask."""
+"""Seconds between two calls if the settings have no interval."""
 CONFIRMATION_TOLERANCE = 0.2
-"""Seconds by which the time of the last list has to move to be another one: what is less is lateness."""
+"""Seconds by which the time of the last confirmed list must move to be a new one. Less is reporting delay."""
 IMMEDIATE_FAILURE = 0.2
-"""Seconds: a call that failed sooner was not kept waiting, so its service was not at work on it."""
+"""Seconds. A call that failed sooner was not kept waiting, so its service was not working on it."""
 
 
 class ListRefresh:
-    """Follows the calls of one sender and knows when the next one is due."""
+    """Follows one sender's calls for the endpoint list and schedules the next one."""
 
     def __init__(self, settings: api.Settings, random: Random) -> None:
-        """The pauses are drawn from `random`, the sender's own."""
+        """The jitter is drawn from `random`, the sender's generator."""
         self._random = random
         self._failures = self._unanswered_calls = 0
-        self._confirmed_at = -math.inf
-        self._unavailable_until = -math.inf
+        self._confirmed_at = -math.inf  # when the list was last known to be the newest
+        self._unavailable_until = -math.inf  # before this time no update could be received
         self.apply_settings(settings)
         self.next_call_at = 0.0 if self._on_request else math.inf
-        """When to ask, on the sender's clock; infinity while nothing is due."""
+        """When to call, on the sender's clock; infinity while no call is due."""
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Go by these settings from here on."""
+        """Use these settings from now on."""
         self._on_request = settings.discovery_on_request
         self._senders = settings.senders
         self._max_pause = settings.list_refresh_interval or DEFAULT_MAX_PAUSE
 
     def started(self, now: float) -> None:
-        """The process has just started with the list as it was last held."""
+        """The process has started with the stored list."""
         self._failures = self._unanswered_calls = 0
         if self._on_request:
             self.next_call_at = now + self._retry_pause() * self._random.uniform(0.0, START_SPREAD)
 
     def succeeded(self) -> None:
-        """A list or a change of it has come."""
+        """A list or an update of it was received."""
         self._failures = self._unanswered_calls = 0
 
     def failed(self, now: float, update: api.EndpointsUpdated) -> None:
@@ -71,35 +72,34 @@
         if not self._on_request:
             return
         confirmed_at = now - update.list_age
-        # Failures are heard of some milliseconds late, by which a time reckoned back from them moves on. More
-        # than that is a watch held since the last failure, or a move of the service: it makes the list older.
+        # A failure is reported some milliseconds late, and the time computed from it moves by as much. A
+        # larger difference means that a watch was held since the last failure, or that the service has moved,
+        # which makes the list count as older.
         if abs(confirmed_at - self._confirmed_at) > CONFIRMATION_TOLERANCE:
             self._confirmed_at = confirmed_at
             self._failures = self._unanswered_calls = 0
-        if (
-            IMMEDIATE_FAILURE < update.silent_for < update.list_age - IMMEDIATE_FAILURE
-        ):  # a call that was not answered, and no watch
+        # A call was not answered. A watch is excluded: it confirms the list until the service goes silent.
+        if IMMEDIATE_FAILURE < update.silent_for < update.list_age - IMMEDIATE_FAILURE:
             self._unanswered_calls += 1
-        if update.silent_for == -math.inf:  # nobody can tell what was missed
+        if update.silent_for == -math.inf:  # it is not known which updates were missed
             pause = self._retry_pause()
         else:
-            # Reckoned from the last list that came: a failed call must not begin the 6 s of its news anew.
+            # Computed from the last confirmed list: a failed call must not restart the 6 s for its updates.
             pause = min(self._retry_pause(), self._notification_pause(now, update.silent_for))
         self.next_call_at = now + pause * self._random.uniform(0.5, 1.5)
         self._failures += 1
 
     def _retry_pause(self) -> float:
-        """The pause that lets a service which works through calls in turn catch up with all senders."""
+        """The pause that lets a service which handles calls in turn catch up with all senders."""
         factor = 2.0 ** min(self._failures, MAX_DOUBLINGS)
         return min(RETRY_PAUSE_PER_SENDER * self._senders * factor, self._max_pause)
 
     def _notification_pause(self, now: float, silent_for: float) -> float:
-        """The longest pause with which news of now can still be had in time; infinity if none can be."""
-        overdue = (
-            now > self._confirmed_at + NOTIFICATION_DEADLINE
-        )  # what was missed first; what came later is not
+        """The longest pause after which updates up to now still arrive in time; infinity if they cannot."""
+        # The first updates that were missed are overdue then, but not the later ones.
+        overdue = now > self._confirmed_at + NOTIFICATION_DEADLINE
         if overdue and silent_for <= IMMEDIATE_FAILURE:
-            self._unavailable_until = now  # no news could be had before
+            self._unavailable_until = now
         since = max(self._confirmed_at, self._unavailable_until) if overdue else self._confirmed_at
         time_left = since + LATEST_CALL_START - now
         if RETRY_PAUSE_PER_SENDER * self._senders >= NOTIFICATION_DEADLINE:
@@ -108,14 +108,14 @@
             time_left += NOTIFICATION_DEADLINE
         if time_left < LATEST_CALL_START - NOTIFICATION_DEADLINE:
             return math.inf
-        if silent_for > IMMEDIATE_FAILURE:  # so may the calls to come be
+        if silent_for > IMMEDIATE_FAILURE:  # further calls may not be answered either
             time_left -= ANSWER_OVERDUE_AFTER * max(
                 0, int((time_left + IMMEDIATE_FAILURE) / ANSWER_OVERDUE_AFTER) - 1
             )
         return max(MIN_PAUSE, time_left / CALLS_IN_TIME_LEFT)
 
     def _large_fleet_pause(self, time_left: float) -> float:
-        """The same for a fleet that cannot be served in time by a service that lets call after call wait."""
+        """The same for a fleet so large that a service which keeps calls waiting cannot serve it in time."""
         if time_left < LATEST_CALL_START - NOTIFICATION_DEADLINE or self._unanswered_calls > 1:
             return math.inf
         calls = LARGE_FLEET_CALLS_IN_TIME_LEFT if self._unanswered_calls else CALLS_IN_TIME_LEFT
--- a/tests/test_list_refresh.py
+++ b/tests/test_list_refresh.py
@@ -1,4 +1,4 @@
-"""When the list is asked for again: by its age, and by what its service can bear."""
+"""When the list is requested again: by the age of the list, and by the load that its service can take."""
 
 import itertools
 from dataclasses import replace
@@ -11,7 +11,7 @@
 from tests.support import SETTINGS
 
 REPORTING_DELAYS = (0.0, 0.004, 0.009)
-"""Seconds by which the decisions hear of a failure later than it was told; never the same."""
+"""Seconds between a failure and its report to the decisions; each report has another delay."""
 
 
 def failure(list_age: float, silent_for: float) -> api.EndpointsUpdated:
@@ -26,7 +26,7 @@
 
 
 def test_a_large_fleet_pauses_when_its_service_keeps_several_calls_waiting() -> None:
-    """Failures that are heard of a few milliseconds late must not pass for a list that came in between."""
+    """Failures reported a few milliseconds late must not be taken for a list that was received in between."""
     for seed in range(10):
         list_refresh = started_refresh(200, seed)
         for at, delay in zip((3.0, 4.5), REPORTING_DELAYS, strict=False):
@@ -52,10 +52,11 @@
 
 
 def test_a_list_that_a_move_of_discovery_made_older_is_requested_sooner() -> None:
-    """A watch broke right after a word; then discovery moved, which makes the list older by 2 s."""
+    """A watch fails right after an update. Then discovery moves, which makes the list count as 2 s older."""
     for senders, seed in itertools.product((2, 6, 24), range(20)):
         list_refresh = started_refresh(senders, seed)
         list_refresh.failed(50.0, failure(0.1, 0.1))
-        for at in (51.7, 53.4):  # two calls at the new address, where all is due by 54.5, 4 s after the move
+        # Two calls to the new address. The notification deadline is at 54.5, 4 s after the move.
+        for at in (51.7, 53.4):
             list_refresh.failed(at, failure(at - 48.5, 1.2))
         assert list_refresh.next_call_at <= 53.4 + 0.3
