--- a/tests/returning_fleet.py
+++ b/tests/returning_fleet.py
@@ -21,14 +21,14 @@
 """Seconds at which the destination goes and comes back cold."""
 END = BACK + SETTINGS.warmup_seconds
 """When it is warm again at the latest."""
-SPARE = 1.2
+CAPACITY_FACTOR = 1.2
 """Its capacity, as a multiple of the rate that the list tells."""
-LOAD = 0.9
+LOAD_FACTOR = 0.9
 """Messages a second that come in, as a multiple of that rate."""
-SERVED_IN = 0.15
-REFUSED_IN = 0.02
+SUCCESS_LATENCY = 0.15
+REFUSAL_LATENCY = 0.02
 """Seconds that a call takes: on average where it is served, and where it is refused."""
-MESSAGE_LIFE = 20.0
+MESSAGE_DEADLINE = 20.0
 """Seconds in which a message is owed its answer."""
 NEVER = float("inf")
 
@@ -44,7 +44,7 @@
 
     senders: int
     rate: float
-    outage: Outcome
+    outage_outcome: Outcome
     seed: int
 
 
@@ -53,18 +53,18 @@
     """A call that reached the destination after its return."""
 
     at: float
-    sender_was_told: bool
+    sender_was_informed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class MessageArrives:
+class MessageArrival:
     """A message is handed in."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
-class CallEnds:
+class CallEnd:
     """The call with a message ends."""
 
     message: int
@@ -72,11 +72,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpiry:
     """A timer that the sender has set comes due."""
 
 
-Event = MessageArrives | CallEnds | TimerDue
+Event = MessageArrival | CallEnd | TimerExpiry
 
 
 class ReturningFleet:
@@ -84,100 +84,101 @@
 
     def __init__(self, scenario: Scenario) -> None:
         senders, rate, seed = scenario.senders, scenario.rate, scenario.seed
-        self._outage = scenario.outage
+        self._outage_outcome = scenario.outage_outcome
         self._random = Random(seed)
-        self._ties = count()
+        self._tie_breakers = count()
         self._events: list[tuple[float, int, int, Event]] = []  # time, tie, sender, event
         self._drivers = [
             Driver(endpoint(1, rate=rate), senders=senders, seed=seed * 1000 + number, max_calls=12)
             for number in range(senders)
         ]
-        self._calls_seen = [0] * senders
-        self._told = [False] * senders
+        self._sends_processed = [0] * senders
+        self._informed = [False] * senders
         self._timer_at = [NEVER] * senders
         self._arrivals: list[Arrival] = []
-        self._hand_in_messages(rate)
+        self._schedule_arrivals(rate)
 
-    def play(self) -> list[Arrival]:
+    def run(self) -> list[Arrival]:
         """The calls that reached the destination while it was cold, in order."""
         while self._events and self._events[0][0] < END:
             now, _, sender, event = heappop(self._events)
             self._handle(now, sender, event)
-            self._take_calls(sender)
-            self._note_timer(sender)
+            self._process_sends(sender)
+            self._schedule_timer(sender)
         return sorted(arrival for arrival in self._arrivals if arrival.at < END)
 
     def _schedule(self, at: float, sender: int, event: Event) -> None:
-        heappush(self._events, (at, next(self._ties), sender, event))
+        heappush(self._events, (at, next(self._tie_breakers), sender, event))
 
-    def _hand_in_messages(self, rate: float) -> None:
+    def _schedule_arrivals(self, rate: float) -> None:
         """Messages come thin and uneven, more of them to the first senders."""
-        at, numbers, senders = 0.0, count(1), len(self._drivers)
+        at, message_numbers, senders = 0.0, count(1), len(self._drivers)
         while at < END:
-            at += self._random.expovariate(LOAD * rate)
+            at += self._random.expovariate(LOAD_FACTOR * rate)
             sender = min(self._random.randrange(senders), self._random.randrange(senders))
-            self._schedule(at, sender, MessageArrives(next(numbers)))
+            self._schedule(at, sender, MessageArrival(next(message_numbers)))
 
     def _handle(self, now: float, sender: int, event: Event) -> None:
         driver = self._drivers[sender]
         match event:
-            case MessageArrives(message):
-                index = self._random.choice([SAFE_INDEX, KEYED_INDEX, UNSAFE_INDEX])
-                driver.submit(message, now, index, due=now + MESSAGE_LIFE)
-            case CallEnds(message, outcome):
+            case MessageArrival(message):
+                class_index = self._random.choice([SAFE_INDEX, KEYED_INDEX, UNSAFE_INDEX])
+                driver.submit(message, now, class_index, due=now + MESSAGE_DEADLINE)
+            case CallEnd(message, outcome):
                 driver.end_attempt(message, outcome, now)
-                self._told[sender] |= outcome is not Outcome.OK
-            case TimerDue() if driver.next_timer() == now:
+                self._informed[sender] |= outcome is not Outcome.OK
+            case TimerExpiry() if driver.next_timer() == now:
                 driver.fire_timer()
 
-    def _take_calls(self, sender: int) -> None:
+    def _process_sends(self, sender: int) -> None:
         """Let the calls that a sender has just made reach the destination, and settle how they end."""
         driver = self._drivers[sender]
-        for at, send in driver.sends[self._calls_seen[sender] :]:
+        for at, send in driver.sends[self._sends_processed[sender] :]:
             if at >= BACK:
-                self._arrivals.append(Arrival(at, self._told[sender]))
-            outcome, ends = self._end_of(at, send)
-            self._schedule(ends, sender, CallEnds(send.message, outcome))
-        self._calls_seen[sender] = len(driver.sends)
+                self._arrivals.append(Arrival(at, self._informed[sender]))
+            outcome, ends_at = self._call_result(at, send)
+            self._schedule(ends_at, sender, CallEnd(send.message, outcome))
+        self._sends_processed[sender] = len(driver.sends)
 
-    def _end_of(self, at: float, send: Send) -> tuple[Outcome, float]:
+    def _call_result(self, at: float, send: Send) -> tuple[Outcome, float]:
         if not DOWN <= at < BACK:
-            return Outcome.OK, at + SERVED_IN * self._random.uniform(0.5, 1.5)
-        if self._outage is Outcome.TIMEOUT:
-            return self._outage, max(at, send.give_up_at or END)
-        return self._outage, at + REFUSED_IN
+            return Outcome.OK, at + SUCCESS_LATENCY * self._random.uniform(0.5, 1.5)
+        if self._outage_outcome is Outcome.TIMEOUT:
+            return self._outage_outcome, max(at, send.give_up_at or END)
+        return self._outage_outcome, at + REFUSAL_LATENCY
 
-    def _note_timer(self, sender: int) -> None:
+    def _schedule_timer(self, sender: int) -> None:
         due = self._drivers[sender].next_timer()
         if due != self._timer_at[sender]:
             self._timer_at[sender] = due
-            self._schedule(due, sender, TimerDue())
+            self._schedule(due, sender, TimerExpiry())
 
 
-def allowed(at: float, rate: float) -> float:
+def allowed_calls(at: float, rate: float) -> float:
     """What the settings allow a destination in the span that ends then, whose capacity is the listed rate."""
     steps = 40
     start = max(BACK, at - SETTINGS.overload_window)
-    warm = [
+    progress = [
         min(1.0, (start + (at - start) * (step + 0.5) / steps - BACK) / SETTINGS.warmup_seconds)
         for step in range(steps)
     ]
-    share = (
-        sum(SETTINGS.warmup_start_share + (1.0 - SETTINGS.warmup_start_share) * part for part in warm) / steps
+    capacity = (
+        sum(SETTINGS.warmup_start_share + (1.0 - SETTINGS.warmup_start_share) * each for each in progress)
+        / steps
     )
-    return SETTINGS.overload_multiple * SPARE * rate * share * SETTINGS.overload_window
+    return SETTINGS.overload_multiple * CAPACITY_FACTOR * rate * capacity * SETTINGS.overload_window
 
 
-def falls_by_those_told(scenario: Scenario) -> bool:
+def overloaded_by_informed_senders(scenario: Scenario) -> bool:
     """Whether it falls at any time while cold, mostly by senders that had been told."""
-    span: deque[Arrival] = deque()
-    for arrival in ReturningFleet(scenario).play():
-        span.append(arrival)
-        while span[0].at <= arrival.at - SETTINGS.overload_window:
-            span.popleft()
-        budget = allowed(arrival.at, scenario.rate)
-        falls = len(span) > budget + 2.0 * budget**0.5 + 2.0
-        if falls and 3 * sum(each.sender_was_told for each in span) > 2 * len(span):
+    window: deque[Arrival] = deque()
+    for arrival in ReturningFleet(scenario).run():
+        window.append(arrival)
+        while window[0].at <= arrival.at - SETTINGS.overload_window:
+            window.popleft()
+        budget = allowed_calls(arrival.at, scenario.rate)
+        overloaded = len(window) > budget + 2.0 * budget**0.5 + 2.0
+        if overloaded and 3 * sum(each.sender_was_informed for each in window) > 2 * len(window):
             return True
     return False
 
@@ -185,18 +186,20 @@
 def main(first_seed: int, last_seed: int) -> int:
     """Play the whole table and print the plays that fall; the exit code is 1 if there are any."""
     seeds = range(first_seed, last_seed)
-    fallen = [
+    overloads = [
         scenario
         for scenario in (Scenario(*row) for row in product(SENDERS, RATES, OUTCOMES, seeds))
-        if falls_by_those_told(scenario)
+        if overloaded_by_informed_senders(scenario)
     ]
-    falls = Counter((scenario.senders, scenario.outage) for scenario in fallen)
+    counts = Counter((scenario.senders, scenario.outage_outcome) for scenario in overloads)
     print(f"falls of {len(RATES) * len(seeds)} plays each; seeds {first_seed} to {last_seed - 1}")
     for senders in SENDERS:
-        print(f"{senders:4d} senders:", *(f"{how.name} {falls[senders, how]}" for how in OUTCOMES))
-    for scenario in fallen:
+        print(
+            f"{senders:4d} senders:", *(f"{outcome.name} {counts[senders, outcome]}" for outcome in OUTCOMES)
+        )
+    for scenario in overloads:
         print(f"fell: {scenario}")
-    return int(bool(fallen))
+    return int(bool(overloads))
 
 
 if __name__ == "__main__":
--- a/tests/support.py
+++ b/tests/support.py
@@ -106,22 +106,22 @@
     def _turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
         self.now = now
         actions = self.sender.turn(now, events)
-        for act in actions:
-            match act:
-                case api.Send(message, to):
-                    self.sends.append((now, act))
+        for action in actions:
+            match action:
+                case api.Send(message, to_address):
+                    self.sends.append((now, action))
                     self.attempts[message] = self.attempts.get(message, -1) + 1
-                    self.last_endpoint[message], self.last_sent_at[message] = to, now
+                    self.last_endpoint[message], self.last_sent_at[message] = to_address, now
                 case api.Refuse(message):
-                    self.refused[message] = act
+                    self.refused[message] = action
                 case api.Fail(message):
                     self.failed.add(message)
                 case api.Cancel(message):
                     self.cancelled.append((now, message))
                 case api.TellPeer(None, data):
                     self.gossip_sent.append((now, data))
-                case api.CloseIdle(to):
-                    self.closed_idle.append((now, to))
+                case api.CloseIdle(to_address):
+                    self.closed_idle.append((now, to_address))
                 case api.Subscribe(True):
                     self.subscribed.append(now)
                 case api.SetTimer(delay, token):
@@ -132,24 +132,24 @@
         self,
         number: int,
         at: float,
-        index: int = SAFE_INDEX,
+        class_index: int = SAFE_INDEX,
         destination: int = 1,
         key: int | None = None,
         due: float | None = None,
     ) -> list[api.Action]:
-        return self.turn(at, self.message_received(number, at, index, destination, key, due))
+        return self.turn(at, self.message_received(number, at, class_index, destination, key, due))
 
     def message_received(
         self,
         number: int,
         at: float,
-        index: int = SAFE_INDEX,
+        class_index: int = SAFE_INDEX,
         destination: int = 1,
         key: int | None = None,
         due: float | None = None,
     ) -> api.MessageReceived:
-        when = at + CLASSES[index].deadline if due is None else due
-        return api.MessageReceived(number, index, destination, when, key=key)
+        due_at = at + CLASSES[class_index].deadline if due is None else due
+        return api.MessageReceived(number, class_index, destination, due_at, key=key)
 
     def attempt_ended(
         self,
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -20,13 +20,13 @@
     driver.turn(at, *(api.MessageWithdrawn(number) for number in numbers))
 
 
-def test_a_message_goes_at_once_on_a_quiet_destination() -> None:
+def test_a_message_is_sent_at_once_to_an_idle_destination() -> None:
     driver = Driver()
     driver.submit(1, 1.0)
     assert driver.send_times(1) == [1.0]
 
 
-def opened(outcome: api.Outcome = ERROR, kind: int = 0) -> tuple[Driver, float]:
+def driver_with_open_breaker(outcome: api.Outcome = ERROR, kind: int = 0) -> tuple[Driver, float]:
     """A driver whose destination has just opened, with nothing left in line; and the time of the opening."""
     driver = Driver(endpoint(1, kind=kind))
     for number in range(1, FAILURE_THRESHOLD + 1):
@@ -39,8 +39,8 @@
 @pytest.mark.parametrize(
     "outcome", [ERROR, FULL, api.Outcome.TIMEOUT, api.Outcome.CONNECT_FAILED, api.Outcome.RESET]
 )
-def test_the_third_failure_in_the_window_opens(outcome: api.Outcome) -> None:
-    driver, at = opened(outcome)
+def test_the_third_failure_in_the_window_opens_the_breaker(outcome: api.Outcome) -> None:
+    driver, at = driver_with_open_breaker(outcome)
     driver.submit(50, at + 0.2)
     assert driver.send_times(50) == []
     driver.turn(at + OPEN_DURATION + 14.0)
@@ -49,13 +49,13 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.CANCELLED, api.Outcome.NOT_SENT])
-def test_what_says_nothing_of_the_destination_does_not_count(outcome: api.Outcome) -> None:
-    driver, at = opened(outcome)
+def test_outcomes_that_do_not_concern_the_destination_do_not_count(outcome: api.Outcome) -> None:
+    driver, at = driver_with_open_breaker(outcome)
     driver.submit(50, at + 0.2)
     assert driver.send_times(50) == [at + 0.2]
 
 
-def test_two_failures_do_not_open_and_the_window_is_fixed() -> None:
+def test_two_failures_do_not_open_the_breaker_and_the_window_does_not_slide() -> None:
     driver = Driver()
     driver.submit(1, 1.0, UNSAFE_INDEX)
     driver.end_attempt(1, ERROR, 1.1)
@@ -67,8 +67,8 @@
     assert driver.send_times(50) == [FAILURE_WINDOW + 1.4]
 
 
-def test_it_closes_by_itself_without_a_trial_call() -> None:
-    driver, at = opened(FULL)
+def test_the_breaker_closes_by_itself_without_a_trial_call() -> None:
+    driver, at = driver_with_open_breaker(FULL)
     sends = len(driver.sends)
     driver.turn(at + OPEN_DURATION + 1.0)
     assert len(driver.sends) == sends
@@ -76,7 +76,7 @@
     assert driver.send_times(50) == [at + OPEN_DURATION + 2.0]
 
 
-def test_outcomes_landing_while_open_neither_count_nor_extend() -> None:
+def test_outcomes_while_the_breaker_is_open_neither_count_nor_extend_it() -> None:
     driver = Driver(endpoint(1), endpoint(2, destination=2), max_calls=18)
     numbers = range(1, 7)  # six calls are out together
     driver.turn(
@@ -91,7 +91,7 @@
     assert [driver.refused[n].retry_after for n in (4, 5, 6)] == [pytest.approx(OPEN_DURATION / 2)] * 3
 
 
-def test_a_told_wait_holds_every_message_to_its_end() -> None:
+def test_a_retry_after_holds_every_message_until_it_ends() -> None:
     driver = Driver(endpoint(1), endpoint(2))
     driver.submit(1, 1.0)
     driver.end_attempt(1, FULL, 1.1, retry_after=2.0)
@@ -104,7 +104,7 @@
     assert driver.send_times(2)
 
 
-def test_a_told_wait_while_open_moves_the_close() -> None:
+def test_a_retry_after_while_the_breaker_is_open_extends_the_opening() -> None:
     driver = Driver()
     driver.turn(1.0, *(driver.message_received(n, 1.0) for n in range(1, 5)))
     driver.turn(1.1, *(driver.attempt_ended(n, FULL, 1.1) for n in range(1, 4)))
@@ -113,20 +113,20 @@
     assert len(driver.sends) == 4
 
 
-def test_a_parked_message_that_cannot_wait_is_refused_at_once_with_the_close() -> None:
-    driver, at = opened(FULL)
+def test_a_message_that_cannot_wait_for_the_breaker_is_refused_at_once_with_the_closing_time() -> None:
+    driver, at = driver_with_open_breaker(FULL)
     driver.submit(50, at + 0.2, due=at + OPEN_DURATION)
     assert driver.refused[50].retry_after == pytest.approx(OPEN_DURATION - 0.2)
     driver.submit(51, at + 0.2, due=at + OPEN_DURATION + 5.0)
     assert 51 not in driver.refused
 
 
-def test_no_advice_where_the_site_gives_none_and_never_more_than_clients_follow() -> None:
-    silent = Driver(advises_retry_after=False)
-    silent.submit(1, 1.0)
-    silent.end_attempt(1, FULL, 1.1, retry_after=9.0)
-    silent.submit(50, 1.3, due=4.0)
-    assert silent.refused[50].retry_after is None
+def test_retry_after_is_given_only_if_configured_and_up_to_its_maximum() -> None:
+    without_advice = Driver(advises_retry_after=False)
+    without_advice.submit(1, 1.0)
+    without_advice.end_attempt(1, FULL, 1.1, retry_after=9.0)
+    without_advice.submit(50, 1.3, due=4.0)
+    assert without_advice.refused[50].retry_after is None
     driver = Driver(max_retry_after=0.5)
     driver.submit(1, 1.0)
     driver.end_attempt(1, FULL, 1.1, retry_after=9.0)
@@ -134,7 +134,7 @@
     assert driver.refused[50].retry_after == 0.5
 
 
-def test_a_message_already_waiting_is_refused_when_the_close_moves_past_it() -> None:
+def test_a_queued_message_is_refused_when_the_breaker_stays_open_past_its_deadline() -> None:
     driver = Driver(max_calls=1)
     driver.submit(1, 1.0)
     driver.submit(2, 1.0, due=4.0)
@@ -151,7 +151,7 @@
     assert driver.send_times(1) == [1.0]
 
 
-def test_an_unsafe_message_that_was_turned_away_goes_again() -> None:
+def test_an_unsafe_message_that_was_refused_is_sent_again() -> None:
     driver = Driver()
     driver.submit(1, 1.0, UNSAFE_INDEX)
     driver.end_attempt(1, FULL, 1.1)
@@ -159,7 +159,7 @@
     assert len(driver.send_times(1)) == 2
 
 
-def test_a_keyed_message_goes_again_only_in_its_window() -> None:
+def test_a_keyed_message_is_sent_again_only_in_its_dedup_window() -> None:
     driver = Driver()
     driver.submit(1, 1.0, KEYED_INDEX)
     driver.end_attempt(1, api.Outcome.TIMEOUT, 3.0)
@@ -172,7 +172,7 @@
     assert late.failed == {1}
 
 
-def test_after_a_refusal_calls_are_evenly_spaced_and_slower_with_each_further_one() -> None:
+def test_calls_are_evenly_spaced_after_a_refusal_and_slower_with_each_further_one() -> None:
     driver = Driver(endpoint(1, rate=4.0))
     driver.turn(1.0, driver.message_received(1, 1.0))
     driver.end_attempt(1, FULL, 1.05)
@@ -181,16 +181,16 @@
     assert len(driver.sends) == 1
     driver.turn(1.7)
     assert len(driver.sends) == 2
-    even = 1.0 / (4.0 / SETTINGS.senders)
-    assert even <= driver.sends[1][0] - 1.05 <= 1.2 * even
-    again = driver.sends[1][1].message
+    even_gap = 1.0 / (4.0 / SETTINGS.senders)
+    assert even_gap <= driver.sends[1][0] - 1.05 <= 1.2 * even_gap
+    repeated = driver.sends[1][1].message
     at = driver.sends[1][0] + 0.05
-    driver.end_attempt(again, FULL, at)
+    driver.end_attempt(repeated, FULL, at)
     driver.turn(at + 1.0)
-    assert even * SLOWDOWN_FACTOR <= driver.sends[2][0] - at <= 1.2 * even * SLOWDOWN_FACTOR
+    assert even_gap * SLOWDOWN_FACTOR <= driver.sends[2][0] - at <= 1.2 * even_gap * SLOWDOWN_FACTOR
 
 
-def test_the_spacing_lapses_once_calls_succeed_and_nothing_waits() -> None:
+def test_the_spacing_ends_once_calls_succeed_and_nothing_is_queued() -> None:
     driver = Driver()
     driver.submit(1, 1.0)
     driver.end_attempt(1, FULL, 1.05)
@@ -201,7 +201,7 @@
     assert driver.send_times(50) == driver.send_times(51) == [at]
 
 
-def test_a_reported_limit_goes_before_the_listed_rate() -> None:
+def test_a_reported_limit_overrides_the_listed_rate() -> None:
     driver = Driver(endpoint(1, rate=4.0))
     driver.submit(1, 1.0)
     driver.end_attempt(1, FULL, 1.05, report=(0.0, 1.0))
@@ -209,7 +209,7 @@
     assert 1.0 <= (driver.send_times(1)[1] - 1.05) / SETTINGS.senders <= 1.15
 
 
-def test_a_sender_spaces_by_its_own_flow_where_that_is_more_than_the_even_part() -> None:
+def test_a_sender_spaces_calls_by_its_arrivals_if_they_exceed_an_even_share() -> None:
     def gap(count: int) -> float:
         driver = Driver(endpoint(1, rate=40.0), senders=400)
         driver.turn(1.0, *(driver.message_received(n, 1.0) for n in range(1, count + 1)))
@@ -228,19 +228,19 @@
     assert FAILURE_WINDOW / 5 <= gap(5) <= 1.2 * FAILURE_WINDOW / 5
 
 
-def test_each_route_apart_has_its_own_row() -> None:
-    apart = (api.DestinationKind("apart", separate_routes=True),)
-    driver = Driver(endpoint(1), endpoint(2), kinds=apart)
+def test_each_separate_route_has_its_own_breaker() -> None:
+    separate = (api.DestinationKind("apart", separate_routes=True),)
+    driver = Driver(endpoint(1), endpoint(2), kinds=separate)
     driver.submit(1, 1.0)
-    first = driver.last_endpoint[1]
+    first_endpoint = driver.last_endpoint[1]
     driver.end_attempt(1, FULL, 1.1, retry_after=5.0)
-    assert driver.last_endpoint[1] != first
+    assert driver.last_endpoint[1] != first_endpoint
     assert len(driver.send_times(1)) == 2
     driver.turn(1.2, *(driver.message_received(n, 1.2) for n in range(2, 5)))
-    assert first not in {send.endpoint for at, send in driver.sends if at > 1.05}
+    assert first_endpoint not in {send.endpoint for at, send in driver.sends if at > 1.05}
 
 
-def test_one_destination_does_not_shut_another() -> None:
+def test_the_breaker_of_one_destination_does_not_affect_another() -> None:
     driver = Driver(endpoint(1), endpoint(2, destination=2))
     for number, at in ((1, 1.0), (2, 1.1), (3, 1.2)):
         driver.submit(number, at)
@@ -252,14 +252,14 @@
 # ---- departures ----
 
 
-def test_the_release_after_an_outage_is_spaced_by_the_fail_back_budget() -> None:
-    driver, at = opened()
-    waiting = range(50, 62)
-    driver.turn(at + 0.2, *(driver.message_received(n, at + 0.2) for n in waiting))
-    close = at + OPEN_DURATION
-    before = len(driver.sends)
-    driver.turn(close + 2.0)
-    released = [when for when, _ in driver.sends[before:]]
+def test_queued_messages_are_released_after_an_outage_by_the_warm_up_budget() -> None:
+    driver, at = driver_with_open_breaker()
+    queued = range(50, 62)
+    driver.turn(at + 0.2, *(driver.message_received(n, at + 0.2) for n in queued))
+    closes_at = at + OPEN_DURATION
+    sent_before = len(driver.sends)
+    driver.turn(closes_at + 2.0)
+    released = [sent_at for sent_at, _ in driver.sends[sent_before:]]
     rate = (
         4.0
         * SETTINGS.warmup_start_share
@@ -268,50 +268,50 @@
         / SETTINGS.senders
     )
     assert 1 <= len(released) <= 1 + 2.0 * rate
-    driver.end_attempt(driver.sends[before][1].message, OK, close + 2.1)
-    driver.turn(close + 6.0)
-    warm = 4.0 * SETTINGS.overload_multiple * WARMUP_BUDGET_MARGIN / SETTINGS.senders
-    assert len(driver.sends) - before <= 1 + 6.0 * warm
+    driver.end_attempt(driver.sends[sent_before][1].message, OK, closes_at + 2.1)
+    driver.turn(closes_at + 6.0)
+    warm_rate = 4.0 * SETTINGS.overload_multiple * WARMUP_BUDGET_MARGIN / SETTINGS.senders
+    assert len(driver.sends) - sent_before <= 1 + 6.0 * warm_rate
 
 
-def prove(driver: Driver, number: int, at: float) -> float:
+def succeed_once(driver: Driver, number: int, at: float) -> float:
     """Hand in a message, wait until it goes and let it succeed; returns the time of the answer."""
     driver.submit(number, at, due=at + 40.0)
     driver.end_attempt(number, OK, driver.run_until_sent(number) + 0.05)
     return driver.now
 
 
-def test_the_budget_ends_with_the_warm_up() -> None:
-    driver, at = opened()
-    warm = prove(driver, 50, at + OPEN_DURATION) + SETTINGS.warmup_seconds + 0.1
-    driver.turn(warm, *(driver.message_received(n, warm) for n in (60, 61, 62)))
-    assert driver.send_times(60) == driver.send_times(61) == driver.send_times(62) == [warm]
+def test_calls_are_not_spaced_after_the_warm_up() -> None:
+    driver, at = driver_with_open_breaker()
+    warm_at = succeed_once(driver, 50, at + OPEN_DURATION) + SETTINGS.warmup_seconds + 0.1
+    driver.turn(warm_at, *(driver.message_received(n, warm_at) for n in (60, 61, 62)))
+    assert driver.send_times(60) == driver.send_times(61) == driver.send_times(62) == [warm_at]
 
 
-def test_a_shared_call_weighs_more_against_the_budget() -> None:
+def test_a_batch_call_weighs_more_in_the_warm_up_budget() -> None:
     def gap(count: int) -> float:
-        driver, at = opened(kind=1)
-        start = prove(driver, 50, at + OPEN_DURATION) + 0.01
-        sends = len(driver.sends)
+        driver, at = driver_with_open_breaker(kind=1)
+        start = succeed_once(driver, 50, at + OPEN_DURATION) + 0.01
+        sent_before = len(driver.sends)
         driver.turn(start, *(driver.message_received(n, start) for n in range(60, 60 + count)))
         for tenth in range(90):
             driver.turn(start + tenth / 10.0)
-        return driver.sends[sends][0] - start
+        return driver.sends[sent_before][0] - start
 
     assert gap(5) > gap(1) * (1 + 4 * EXTRA_MESSAGE_WEIGHT) * 0.8
 
 
-def test_on_an_unproven_destination_a_repeatable_message_goes_first_and_alone() -> None:
-    driver, at = opened(kind=1)
+def test_the_first_call_after_an_outage_carries_one_repeatable_message() -> None:
+    driver, at = driver_with_open_breaker(kind=1)
     driver.turn(
         1.7, driver.message_received(50, 1.7, UNSAFE_INDEX), driver.message_received(51, 1.7, KEYED_INDEX)
     )
-    before = len(driver.sends)
+    sent_before = len(driver.sends)
     driver.turn(at + OPEN_DURATION + 6.5)
-    assert [send.message for _, send in driver.sends[before:]] == [51]
+    assert [send.message for _, send in driver.sends[sent_before:]] == [51]
 
 
-def test_messages_for_one_endpoint_share_a_call_up_to_its_size() -> None:
+def test_messages_for_one_endpoint_share_batch_calls_up_to_the_maximum_size() -> None:
     driver = Driver(endpoint(1, kind=1), max_calls=2)
     driver.turn(1.0, *(driver.message_received(n, 1.0) for n in range(1, 13)))
     assert len(driver.sends) == 10
@@ -321,7 +321,7 @@
     assert len(driver.sends) == 12
 
 
-def test_a_shared_call_that_fails_counts_once() -> None:
+def test_a_batch_call_that_fails_counts_once() -> None:
     driver = Driver(endpoint(1, kind=1))
     driver.turn(1.0, *(driver.message_received(n, 1.0) for n in range(1, 6)))
     driver.turn(1.1, *(driver.attempt_ended(n, ERROR, 1.1) for n in range(1, 6)))
@@ -329,10 +329,12 @@
     assert driver.sends[-1][0] == 1.1
 
 
-def test_nothing_new_goes_to_a_draining_endpoint_from_the_turn_that_told_it() -> None:
+def test_no_call_goes_to_a_draining_endpoint_from_the_turn_of_the_update() -> None:
     driver = Driver(endpoint(1))
-    gone = endpoint(1, state=api.EndpointState.DRAINING)
-    driver.turn(1.0, driver.message_received(1, 1.0), api.EndpointsUpdated(api.UpdateScope.DELTA, 2, (gone,)))
+    draining = endpoint(1, state=api.EndpointState.DRAINING)
+    driver.turn(
+        1.0, driver.message_received(1, 1.0), api.EndpointsUpdated(api.UpdateScope.DELTA, 2, (draining,))
+    )
     assert driver.sends == []
     driver.turn(2.0, api.EndpointsUpdated(api.UpdateScope.DELTA, 3, (endpoint(7),)))
     assert driver.last_endpoint[1] == address(7)
@@ -345,7 +347,7 @@
     assert driver.last_endpoint[1] == address(2)
 
 
-def test_a_message_without_any_endpoint_waits_and_is_refused_in_time() -> None:
+def test_a_message_without_an_endpoint_waits_and_is_refused_before_its_deadline() -> None:
     driver = Driver(endpoint(1))
     driver.submit(1, 1.0, destination=9, due=6.0)
     assert 1 not in driver.refused
@@ -353,7 +355,7 @@
     assert 1 in driver.refused
 
 
-def test_it_subscribes_at_start_and_again_after_a_failure() -> None:
+def test_a_sender_subscribes_at_start_and_again_after_a_failure() -> None:
     driver = Driver(discovery_on_request=True, list_refresh_interval=6.0)
     driver.turn(0.2)
     assert len(driver.subscribed) == 1
@@ -368,7 +370,7 @@
     assert max(waits) <= 1.5 * 6.0 + 0.01  # long before a failed call stops counting, at four times that
 
 
-def test_no_fleet_is_so_large_that_a_sender_does_not_ask_for_the_list_again() -> None:
+def test_a_sender_requests_the_list_again_in_a_fleet_of_any_size() -> None:
     driver = Driver(discovery_on_request=True, list_refresh_interval=None, senders=5000)
     driver.turn(20.0)
     driver.turn(20.0, api.EndpointsUpdated(api.UpdateScope.FAILED, 1, ()))
@@ -378,24 +380,28 @@
 
 def test_many_senders_that_start_together_all_get_the_list_from_a_slow_service() -> None:
     """It works through calls in turn, given up ones too: asked again soon, it never catches up."""
-    senders, each, patience = 40, 0.2, 2.0
+    senders, service_time, call_timeout = 40, 0.2, 2.0
     drivers = [
         Driver(discovery_on_request=True, list_refresh_interval=10.0, senders=senders, seed=seed)
         for seed in range(senders)
     ]
-    free, asked, told = 0.0, [0] * senders, [False] * senders
-    ends: list[tuple[float, int, bool]] = []
+    service_free_at, calls_made, has_list = 0.0, [0] * senders, [False] * senders
+    call_ends: list[tuple[float, int, bool]] = []
     for step in range(1, 700):
         now = step * 0.05
         for number, driver in enumerate(drivers):
-            for at, _, fine in [end for end in ends if end[1] == number and end[0] <= now]:
-                ends.remove((at, number, fine))
-                told[number] |= fine
-                scope = api.UpdateScope.DELTA if fine else api.UpdateScope.FAILED
-                driver.turn(now, api.EndpointsUpdated(scope, 2, (), 0.0 if fine else patience, list_age=now))
+            for at, _, succeeded in [end for end in call_ends if end[1] == number and end[0] <= now]:
+                call_ends.remove((at, number, succeeded))
+                has_list[number] |= succeeded
+                scope = api.UpdateScope.DELTA if succeeded else api.UpdateScope.FAILED
+                driver.turn(
+                    now, api.EndpointsUpdated(scope, 2, (), 0.0 if succeeded else call_timeout, list_age=now)
+                )
             driver.turn(now)
-            if len(driver.subscribed) > asked[number]:
-                asked[number] += 1
-                free = max(free, now) + each
-                ends.append((min(free, now + patience), number, free <= now + patience))
-    assert all(told)
+            if len(driver.subscribed) > calls_made[number]:
+                calls_made[number] += 1
+                service_free_at = max(service_free_at, now) + service_time
+                call_ends.append(
+                    (min(service_free_at, now + call_timeout), number, service_free_at <= now + call_timeout)
+                )
+    assert all(has_list)
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -3,29 +3,31 @@
 import pytest
 
 from irisstack.interface import Outcome
-from tests.returning_fleet import OUTCOMES, RATES, SENDERS, Scenario, falls_by_those_told
+from tests.returning_fleet import OUTCOMES, RATES, SENDERS, Scenario, overloaded_by_informed_senders
 
 TABLE_SEED = 7
 
 
-@pytest.mark.parametrize("how", [Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.TIMEOUT])
+@pytest.mark.parametrize("outage_outcome", [Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.TIMEOUT])
 @pytest.mark.parametrize("rate", [2.0, 12.0])
 @pytest.mark.parametrize("senders", [2, 5, 20, 30, 200])
-def test_the_sum_of_all_senders_does_not_push_a_returning_destination_over(
-    senders: int, rate: float, how: Outcome
+def test_all_senders_together_do_not_overload_a_recovering_destination(
+    senders: int, rate: float, outage_outcome: Outcome
 ) -> None:
-    assert not falls_by_those_told(Scenario(senders, rate, how, seed=senders))
+    assert not overloaded_by_informed_senders(Scenario(senders, rate, outage_outcome, seed=senders))
 
 
-@pytest.mark.parametrize("how", OUTCOMES)
+@pytest.mark.parametrize("outage_outcome", OUTCOMES)
 @pytest.mark.parametrize("rate", RATES)
 @pytest.mark.parametrize("senders", SENDERS)
-def test_nor_does_it_at_any_size_of_the_fleet(senders: int, rate: float, how: Outcome) -> None:
-    assert not falls_by_those_told(Scenario(senders, rate, how, TABLE_SEED))
+def test_fleets_of_any_size_do_not_overload_a_recovering_destination(
+    senders: int, rate: float, outage_outcome: Outcome
+) -> None:
+    assert not overloaded_by_informed_senders(Scenario(senders, rate, outage_outcome, TABLE_SEED))
 
 
 @pytest.mark.parametrize(
-    ("senders", "rate", "how", "seed"),
+    ("senders", "rate", "outage_outcome", "seed"),
     [
         (120, 2.0, Outcome.FULL, 4),
         (120, 5.0, Outcome.FULL, 0),
@@ -41,24 +43,24 @@
         (840, 61.0, Outcome.FULL, 3),
     ],
 )
-def test_nor_does_it_where_each_of_very_many_senders_sees_a_call_or_two(
-    senders: int, rate: float, how: Outcome, seed: int
+def test_a_recovering_destination_is_not_overloaded_when_each_sender_sees_one_or_two_calls(
+    senders: int, rate: float, outage_outcome: Outcome, seed: int
 ) -> None:
     """A refusal or two of a destination that is shut look like its limit: each of these plays once fell."""
-    assert not falls_by_those_told(Scenario(senders, rate, how, seed))
+    assert not overloaded_by_informed_senders(Scenario(senders, rate, outage_outcome, seed))
 
 
-def test_nor_does_it_where_the_first_turns_of_several_senders_fall_together() -> None:
+def test_a_recovering_destination_is_not_overloaded_when_first_calls_coincide() -> None:
     """Each sender's first turn after the outage is drawn by chance, here seven of them within the span.
 
     What happened: senders were told by three refused connects each, from 21.6 to 32.3 s, and drew their first
     turn from 36 s, the gap at a part of one call in 10 s. Seven such turns fell between 34.7 and 36.0 s. With
     a part of one call in a message's life the gap is 71 s, and half as many come at a time.
     """
-    assert not falls_by_those_told(Scenario(400, 2.0, Outcome.CONNECT_FAILED, seed=2))
+    assert not overloaded_by_informed_senders(Scenario(400, 2.0, Outcome.CONNECT_FAILED, seed=2))
 
 
-def test_nor_does_it_where_a_sender_is_refused_twice_some_seconds_apart() -> None:
+def test_a_recovering_destination_is_not_overloaded_by_senders_refused_twice_seconds_apart() -> None:
     """A shut destination is taken for a limit by senders whose turns come every 7 s.
 
     What happens: each of 200 senders at a rate of 30 a second waits 6.7 s or more after a refusal, and calls
@@ -67,4 +69,4 @@
     One refusal says little, the breaker opens at the third, and between the two no refusal was held against
     the time since the first. One that comes more than 3 s after it with no call taken now shows an outage.
     """
-    assert not falls_by_those_told(Scenario(200, 30.0, Outcome.FULL, seed=32))
+    assert not overloaded_by_informed_senders(Scenario(200, 30.0, Outcome.FULL, seed=32))
