--- a/tests/returning_fleet.py
+++ b/tests/returning_fleet.py
@@ -1,10 +1,11 @@
-"""A fleet of senders and one destination that goes down and comes back cold, played in virtual time.
+"""Simulates a fleet of senders and one destination that goes down and comes back cold, in virtual time.
 
-The destination falls when it gets more calls within the settings' span than N + 2 x root of N + 2, N being
-what the settings allow it then; all calls that reach it count. The rule is broken where over two thirds came
-from senders that had been told of the outage: what the others send nobody could have held back.
+All calls that reach the destination count. It is overloaded when it gets more than N + 2 * sqrt(N) + 2 calls
+within `overload_window`, where N is the number that the settings allow at that time. This breaks the rule of
+the warm-up if over two thirds of these calls came from senders that knew of the outage: those of the others
+could not be held back.
 
-`python -m tests.returning_fleet FIRST LAST` plays the whole table with each seed from FIRST to LAST - 1.
+`python -m tests.returning_fleet FIRST LAST` runs the whole table with each seed from FIRST to LAST - 1.
 """
 
 import sys
@@ -18,29 +19,30 @@
 from tests.support import KEYED_INDEX, SAFE_INDEX, SETTINGS, UNSAFE_INDEX, Driver, endpoint
 
 DOWN, BACK = 20.0, 34.0
-"""Seconds at which the destination goes and comes back cold."""
+"""Seconds at which the destination goes down and at which it comes back cold."""
 END = BACK + SETTINGS.warmup_seconds
-"""When it is warm again at the latest."""
+"""Seconds after which it is warm again at the latest."""
 CAPACITY_FACTOR = 1.2
-"""Its capacity, as a multiple of the rate that the list tells."""
+"""Its capacity as a multiple of its listed rate."""
 LOAD_FACTOR = 0.9
-"""Messages a second that come in, as a multiple of that rate."""
+"""Messages per second that arrive, as a multiple of its listed rate."""
 SUCCESS_LATENCY = 0.15
+"""Seconds that a successful call takes on average."""
 REFUSAL_LATENCY = 0.02
-"""Seconds that a call takes: on average where it is served, and where it is refused."""
+"""Seconds until a call is refused."""
 MESSAGE_DEADLINE = 20.0
-"""Seconds in which a message is owed its answer."""
+"""Seconds from the arrival of a message to its deadline."""
 NEVER = float("inf")
 
 SENDERS = (2, 5, 30, 120, 200, 400, 840)
 RATES = (2.0, 5.0, 12.0, 30.0, 61.0)
 OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT)
-"""The table: how many senders, the listed rates, and how calls end while the destination is down."""
+"""The table: fleet sizes, listed rates, and outcomes of calls while the destination is down."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One play."""
+    """One run of the simulation."""
 
     senders: int
     rate: float
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Arrival:
-    """A call that reached the destination after its return."""
+    """A call that reached the destination after it came back."""
 
     at: float
     sender_was_informed: bool
@@ -58,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageArrival:
-    """A message is handed in."""
+    """A message is submitted."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """The call with a message ends."""
+    """The call that carries a message ends."""
 
     message: int
     outcome: Outcome
@@ -73,21 +75,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpiry:
-    """A timer that the sender has set comes due."""
+    """A timer of the sender is due."""
 
 
 Event = MessageArrival | CallEnd | TimerExpiry
 
 
 class ReturningFleet:
-    """Plays one scenario; all that happens comes from one heap of events."""
+    """Runs one scenario from a single heap of events."""
 
     def __init__(self, scenario: Scenario) -> None:
         senders, rate, seed = scenario.senders, scenario.rate, scenario.seed
         self._outage_outcome = scenario.outage_outcome
         self._random = Random(seed)
         self._tie_breakers = count()
-        self._events: list[tuple[float, int, int, Event]] = []  # time, tie, sender, event
+        self._events: list[tuple[float, int, int, Event]] = []  # time, tie-breaker, sender, event
         self._drivers = [
             Driver(endpoint(1, rate=rate), senders=senders, seed=seed * 1000 + number, max_calls=12)
             for number in range(senders)
@@ -99,7 +101,7 @@
         self._schedule_arrivals(rate)
 
     def run(self) -> list[Arrival]:
-        """The calls that reached the destination while it was cold, in order."""
+        """Return the calls that reached the destination while it was cold, in order."""
         while self._events and self._events[0][0] < END:
             now, _, sender, event = heappop(self._events)
             self._handle(now, sender, event)
@@ -111,7 +113,7 @@
         heappush(self._events, (at, next(self._tie_breakers), sender, event))
 
     def _schedule_arrivals(self, rate: float) -> None:
-        """Messages come thin and uneven, more of them to the first senders."""
+        """Messages arrive at random intervals, more of them at the first senders."""
         at, message_numbers, senders = 0.0, count(1), len(self._drivers)
         while at < END:
             at += self._random.expovariate(LOAD_FACTOR * rate)
@@ -131,7 +133,7 @@
                 driver.fire_timer()
 
     def _process_sends(self, sender: int) -> None:
-        """Let the calls that a sender has just made reach the destination, and settle how they end."""
+        """Pass the calls that a sender has just made to the destination and schedule their ends."""
         driver = self._drivers[sender]
         for at, send in driver.sends[self._sends_processed[sender] :]:
             if at >= BACK:
@@ -155,7 +157,7 @@
 
 
 def allowed_calls(at: float, rate: float) -> float:
-    """What the settings allow a destination in the span that ends then, whose capacity is the listed rate."""
+    """Calls that the settings allow in the overload window that ends at this time, by the listed rate."""
     steps = 40
     start = max(BACK, at - SETTINGS.overload_window)
     progress = [
@@ -170,7 +172,7 @@
 
 
 def overloaded_by_informed_senders(scenario: Scenario) -> bool:
-    """Whether it falls at any time while cold, mostly by senders that had been told."""
+    """Whether the destination is overloaded while cold, mostly by senders that knew of the outage."""
     window: deque[Arrival] = deque()
     for arrival in ReturningFleet(scenario).run():
         window.append(arrival)
@@ -184,7 +186,7 @@
 
 
 def main(first_seed: int, last_seed: int) -> int:
-    """Play the whole table and print the plays that fall; the exit code is 1 if there are any."""
+    """Run the whole table and print the runs with an overload; the exit code is 1 if there are any."""
     seeds = range(first_seed, last_seed)
     overloads = [
         scenario
@@ -192,13 +194,13 @@
         if overloaded_by_informed_senders(scenario)
     ]
     counts = Counter((scenario.senders, scenario.outage_outcome) for scenario in overloads)
-    print(f"falls of {len(RATES) * len(seeds)} plays each; seeds {first_seed} to {last_seed - 1}")
+    print(f"overloads in {len(RATES) * len(seeds)} runs each; seeds {first_seed} to {last_seed - 1}")
     for senders in SENDERS:
         print(
             f"{senders:4d} senders:", *(f"{outcome.name} {counts[senders, outcome]}" for outcome in OUTCOMES)
         )
     for scenario in overloads:
-        print(f"fell: {scenario}")
+        print(f"overloaded: {scenario}")
     return int(bool(overloads))
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Settings and events with values of the tests' own, and a sender driven by hand."""
+"""Settings and events for tests of the decisions, and a driver that records what a sender does."""
 
 from collections.abc import Collection
 from dataclasses import replace
@@ -69,7 +69,7 @@
 
 
 class Driver:
-    """Feeds a sender and keeps book of what it did; it models no server."""
+    """Passes events to a sender and records its actions. It does not model endpoints."""
 
     def __init__(self, *endpoints: api.Endpoint, seed: int = 1, **changes: Any) -> None:
         self.sender = Sender(replace(SETTINGS, **changes), seed)
@@ -88,17 +88,17 @@
         self.turn(0.0, api.EndpointsUpdated(api.UpdateScope.CACHED, 1, endpoints or (endpoint(1),)))
 
     def turn(self, now: float, *events: api.Event) -> list[api.Action]:
-        """One turn at a time; timers that come due before it fire first, each in a turn of its own."""
+        """Run one turn. Timers that are due before it fire first, each in its own turn."""
         while self.timers and self.next_timer() < now:
             self.fire_timer()
         return self._turn(now, events)
 
     def next_timer(self) -> float:
-        """When the next timer comes due; infinity where none is set."""
+        """When the next timer is due; infinity if none is set."""
         return min(self.timers, default=(float("inf"), 0))[0]
 
     def fire_timer(self) -> None:
-        """Let time pass until the next timer comes due, and fire it in a turn of its own."""
+        """Advance to the next timer and fire it in its own turn."""
         due = min(self.timers)
         self.timers.remove(due)
         self._turn(due[0], (api.TimerFired(due[1]),))
@@ -185,14 +185,14 @@
         return [at for at, send in self.sends if send.message == number]
 
     def run_until_sent(self, number: int, attempts: int = 1) -> float:
-        """Let time pass until the message has been sent so often; returns the time, 30 s on at the latest."""
+        """Advance, by at most 30 s, until the message was sent this many times; returns the time."""
         for _ in range(300):
             if len(self.send_times(number)) < attempts:
                 self.turn(self.now + 0.1)
         return self.now
 
     def deliver(self, first: int, count: int, at: float, gap: float = 0.5, destination: int = 1) -> float:
-        """Hand in messages one after another and answer each with success; returns the time after."""
+        """Submit messages one by one and let each succeed after 0.1 s; returns the time after the last."""
         for number in range(first, first + count):
             self.submit(number, at, destination=destination)
             self.end_attempt(number, api.Outcome.OK, at + 0.1)
--- a/tests/test_decision_regressions.py
+++ b/tests/test_decision_regressions.py
@@ -1,4 +1,4 @@
-"""One small test for each failure that a day or an incident showed."""
+"""Regression tests for faults of the decisions, one for each."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def send_delays(driver: Driver, at: float, first: int, count: int = 3) -> list[float]:
-    """When a handful of messages handed in together are sent."""
+    """Seconds until each of some messages submitted together is sent."""
     numbers = range(first, first + count)
     driver.turn(at, *(driver.message_received(n, at) for n in numbers))
     driver.turn(at + 12.0)
@@ -72,7 +72,7 @@
 def test_a_long_gap_after_a_refusal_without_a_known_cause_is_an_outage(
     senders: int, successes: int, report: tuple[float, ...], is_outage: bool
 ) -> None:
-    """One of very many senders sees one refusal of a shut destination; two calls in a window tell."""
+    """One of very many senders sees a single refusal in an outage; two calls in a window would show it."""
     driver = Driver(senders=senders)
     driver.deliver(90, successes, 0.2)
     driver.submit(1, 1.0, due=100.0)
@@ -100,7 +100,8 @@
     driver.turn(1.0, *(driver.message_received(n, 1.0) for n in (1, 2, 3)))
     driver.turn(1.1, *(driver.attempt_ended(n, failed, 1.1) for n in (1, 2, 3)))
     driver.turn(1.2, *(api.MessageWithdrawn(n) for n in (1, 2, 3)))
-    at = 1.1 + OPEN_DURATION + OUTAGE_AFTER + 7.0  # closed, its window lapsed, and nothing was taken since
+    # The breaker has closed, the window has ended, and no call was accepted since.
+    at = 1.1 + OPEN_DURATION + OUTAGE_AFTER + 7.0
     driver.turn(at, *(driver.message_received(n, at) for n in (4, 5, 6)))
     driver.turn(at + 0.1, *(driver.attempt_ended(n, failed, at + 0.1) for n in (4, 5, 6)))
     driver.turn(at + 0.2, *(api.MessageWithdrawn(n) for n in (4, 5, 6)))
@@ -137,7 +138,7 @@
 
 
 def lose_idle_calls(driver: Driver, outcome: api.Outcome, count: int, at: float = 1.0) -> float:
-    """Calls on a connection that was idle for two seconds, each lost with this outcome."""
+    """Make calls on connections idle for 2 s that end with this outcome; returns the time after."""
     for number in range(100, 100 + count):
         driver.submit(number, at)
         driver.end_attempt(number, OK, at + 0.1)
@@ -283,7 +284,7 @@
 
 
 def first_gap(driver: Driver, reported_limit: float) -> float:
-    """The time between the first two calls after a long told wait, with this limit reported at its start."""
+    """Seconds between the first two calls after a long retry-after wait that came with this limit."""
     driver.submit(1, 1.0)
     driver.end_attempt(1, OK, 1.1, report=(0.9, 8.0))
     driver.submit(2, 2.0)
@@ -319,10 +320,10 @@
     driver.deliver(10, 3, 1.0, destination=2)
     assert driver.closed_idle == []
     driver.submit(1, 3.0)
-    driver.end_attempt(1, api.Outcome.CONNECT_FAILED, 3.1)  # and goes again at once
+    driver.end_attempt(1, api.Outcome.CONNECT_FAILED, 3.1)  # and is sent again at once
     driver.submit(2, 3.2, destination=2)
     driver.end_attempt(2, OK, 3.3)
-    assert driver.closed_idle == []  # it may be down as well
+    assert driver.closed_idle == []  # the destination may be down
     driver.end_attempt(1, OK, 3.3)
     driver.submit(4, 3.3, destination=2)
     driver.end_attempt(4, OK, 3.3)
@@ -336,9 +337,8 @@
 def test_failed_connects_in_an_outage_do_not_show_a_full_connection_table() -> None:
     driver = Driver(endpoint(1), endpoint(2, destination=2), max_attempts=10)
     driver.submit(1, 1.0)
-    for attempt in range(
-        1, 2 * FAILURE_THRESHOLD + 1
-    ):  # two closes, no call taken: longer than a full table refuses
+    # Two openings without an accepted call: longer than a full connection table refuses connects.
+    for attempt in range(1, 2 * FAILURE_THRESHOLD + 1):
         driver.end_attempt(1, api.Outcome.CONNECT_FAILED, driver.run_until_sent(1, attempt))
     driver.end_attempt(1, OK, driver.run_until_sent(1, 2 * FAILURE_THRESHOLD + 1))
     driver.submit(50, driver.now + 0.1, destination=2)
@@ -411,7 +411,7 @@
 
 
 def test_refusals_during_an_outage_do_not_slow_the_warm_up() -> None:
-    """Each stretched the gap by half: after a few seconds shut, calls came tens of seconds apart."""
+    """Each refusal lengthened the gap by half: after a few seconds, calls were tens of seconds apart."""
     driver = Driver(endpoint(1, rate=20.0))
     at = driver.deliver(1, 4, 1.0, gap=0.05)
     numbers = range(50, 110)
@@ -434,7 +434,7 @@
     senders: int, gap: float, kept: bool
 ) -> None:
     driver = Driver(senders=senders)
-    for number in range(60):  # long enough to learn the flow and how long a call takes
+    for number in range(60):  # enough to learn the arrival rate and the latency
         driver.submit(number, 1.0 + number * gap)
         driver.end_attempt(number, OK, driver.now + 0.1)
     assert ((driver.now, address(1)) not in driver.closed_idle) is kept
@@ -445,7 +445,7 @@
     driver.turn(1.0, *(driver.message_received(number, 1.0) for number in range(4)))
     for number in range(1, 4):
         driver.end_attempt(number, FULL, 1.1)
-    driver.end_attempt(0, OK, 1.2)  # the others wait for the close
+    driver.end_attempt(0, OK, 1.2)  # the others wait until the breaker closes
     assert (1.2, address(1)) in driver.closed_idle
 
 
@@ -459,7 +459,9 @@
 
 
 def test_a_limit_on_calls_is_shared_by_call_rates_not_message_rates() -> None:
-    """40 senders that each spaced calls by five messages a second would send five times the limit of 40."""
+    """40 senders with 5 messages per second each, if they spaced calls so, would exceed the limit of 40 calls
+    per second fivefold.
+    """
     driver = Driver(endpoint(1, kind=1, rate=40.0), senders=40)
     for number in range(40):
         driver.submit(number, 1.0 + number * 0.2)
@@ -472,7 +474,9 @@
         for answered in [n for n in open_calls if driver.last_sent_at.get(n, 0.0) > 10.1]:
             open_calls.remove(answered)
             driver.end_attempt(answered, OK, driver.now, report=(0.5, 40.0))
-    assert 2 <= len({at for at, _ in driver.sends if at > 10.1}) <= 4  # each takes along what has come
+    assert (
+        2 <= len({at for at, _ in driver.sends if at > 10.1}) <= 4
+    )  # each call takes the messages that are queued by then
 
 
 @pytest.mark.parametrize(
@@ -481,9 +485,9 @@
 def test_calls_are_spaced_when_little_of_the_reported_limit_remains(
     remaining_share: float, senders: int, spaced: bool
 ) -> None:
-    """Each of many senders sees few calls: all would run into the limit together and be refused at once.
+    """Each of many senders makes few calls, so all would reach the limit together and be refused.
 
-    A part so small that a gap outlasts the aim is not worth it.
+    Where an even share is so small that a gap would exceed the latency target, calls are not spaced.
     """
     driver = Driver(endpoint(1, rate=40.0), senders=senders)
     driver.submit(1, 1.0)
@@ -496,7 +500,10 @@
 
 
 def test_load_is_shed_from_the_queue_of_a_destination_that_is_down_not_of_a_healthy_one() -> None:
-    """Nothing paces the healthy one's small calls, though the rate told for all makes their line long."""
+    """The healthy destination takes one message per call, so at its listed rate its queue would look longer.
+
+    Its calls are not spaced, however, and the queue drains quickly.
+    """
     driver = Driver(
         endpoint(1, rate=8.0),
         endpoint(2, destination=2, kind=1, rate=80.0),
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""The lines of the design page, one by one, and the departures that docs/design.md lists."""
+"""The rules of docs/design.md one by one, and the deviations that it lists."""
 
 import pytest
 
@@ -27,7 +27,7 @@
 
 
 def driver_with_open_breaker(outcome: api.Outcome = ERROR, kind: int = 0) -> tuple[Driver, float]:
-    """A driver whose destination has just opened, with nothing left in line; and the time of the opening."""
+    """A driver whose breaker has just opened, with nothing queued, and the time of the opening."""
     driver = Driver(endpoint(1, kind=kind))
     for number in range(1, FAILURE_THRESHOLD + 1):
         driver.submit(number, 1.0)
@@ -78,7 +78,7 @@
 
 def test_outcomes_while_the_breaker_is_open_neither_count_nor_extend_it() -> None:
     driver = Driver(endpoint(1), endpoint(2, destination=2), max_calls=18)
-    numbers = range(1, 7)  # six calls are out together
+    numbers = range(1, 7)  # six calls are in flight together
     driver.turn(
         1.0, *(driver.message_received(n, 1.0, due=None if n < 4 else 1.3 + OPEN_DURATION) for n in numbers)
     )
@@ -229,7 +229,7 @@
 
 
 def test_each_separate_route_has_its_own_breaker() -> None:
-    separate = (api.DestinationKind("apart", separate_routes=True),)
+    separate = (api.DestinationKind("separate", separate_routes=True),)
     driver = Driver(endpoint(1), endpoint(2), kinds=separate)
     driver.submit(1, 1.0)
     first_endpoint = driver.last_endpoint[1]
@@ -249,7 +249,7 @@
     assert driver.send_times(50) == [1.4]
 
 
-# ---- departures ----
+# ---- deviations ----
 
 
 def test_queued_messages_are_released_after_an_outage_by_the_warm_up_budget() -> None:
@@ -275,7 +275,7 @@
 
 
 def succeed_once(driver: Driver, number: int, at: float) -> float:
-    """Hand in a message, wait until it goes and let it succeed; returns the time of the answer."""
+    """Submit a message, wait until it is sent and let it succeed; returns the time of the answer."""
     driver.submit(number, at, due=at + 40.0)
     driver.end_attempt(number, OK, driver.run_until_sent(number) + 0.05)
     return driver.now
@@ -367,7 +367,7 @@
         at = driver.now + 0.01
     assert len(driver.subscribed) == 9
     assert waits[0] < 0.7
-    assert max(waits) <= 1.5 * 6.0 + 0.01  # long before a failed call stops counting, at four times that
+    assert max(waits) <= 1.5 * 6.0 + 0.01  # a failed call stops counting at four times that
 
 
 def test_a_sender_requests_the_list_again_in_a_fleet_of_any_size() -> None:
@@ -379,7 +379,7 @@
 
 
 def test_many_senders_that_start_together_all_get_the_list_from_a_slow_service() -> None:
-    """It works through calls in turn, given up ones too: asked again soon, it never catches up."""
+    """The service handles calls in turn, also those given up; with early retries it would not catch up."""
     senders, service_time, call_timeout = 40, 0.2, 2.0
     drivers = [
         Driver(discovery_on_request=True, list_refresh_interval=10.0, senders=senders, seed=seed)
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -1,4 +1,4 @@
-"""The return of a cold destination under the sum of many senders; the model is in `returning_fleet.py`."""
+"""Warm-up of a cold destination by all senders of a fleet; the simulation is in `returning_fleet.py`."""
 
 import pytest
 
@@ -46,27 +46,27 @@
 def test_a_recovering_destination_is_not_overloaded_when_each_sender_sees_one_or_two_calls(
     senders: int, rate: float, outage_outcome: Outcome, seed: int
 ) -> None:
-    """A refusal or two of a destination that is shut look like its limit: each of these plays once fell."""
+    """One or two refusals in an outage look like those of a rate limit. Each of these runs failed once."""
     assert not overloaded_by_informed_senders(Scenario(senders, rate, outage_outcome, seed))
 
 
 def test_a_recovering_destination_is_not_overloaded_when_first_calls_coincide() -> None:
-    """Each sender's first turn after the outage is drawn by chance, here seven of them within the span.
+    """Each sender draws the time of its first call after the outage; here seven of them coincide.
 
-    What happened: senders were told by three refused connects each, from 21.6 to 32.3 s, and drew their first
-    turn from 36 s, the gap at a part of one call in 10 s. Seven such turns fell between 34.7 and 36.0 s. With
-    a part of one call in a message's life the gap is 71 s, and half as many come at a time.
+    The senders knew of the outage from three failed connects each, between 21.6 and 32.3 s. They drew the
+    time of their first call from a gap of 36 s, which is that of one call per 10 s, and seven of these calls
+    fell between 34.7 and 36.0 s. With one call per message lifetime the gap is 71 s; half as many coincide.
     """
     assert not overloaded_by_informed_senders(Scenario(400, 2.0, Outcome.CONNECT_FAILED, seed=2))
 
 
 def test_a_recovering_destination_is_not_overloaded_by_senders_refused_twice_seconds_apart() -> None:
-    """A shut destination is taken for a limit by senders whose turns come every 7 s.
+    """A destination that is down must not be taken for one at its limit by senders that call every 7 s.
 
-    What happens: each of 200 senders at a rate of 30 a second waits 6.7 s or more after a refusal, and calls
-    again then, whatever came between. In the span that falls, until 35.9 s, 52 of 58 calls come from senders
-    that were told: 25 of them were refused once in the outage, 24 twice, 3 three times.
-    One refusal says little, the breaker opens at the third, and between the two no refusal was held against
-    the time since the first. One that comes more than 3 s after it with no call taken now shows an outage.
+    Each of 200 senders at a rate of 30 calls per second waits 6.7 s or more after a refusal, and then calls
+    again whatever happened in between. Of the 58 calls in the overloaded window, which ends at 35.9 s, 52
+    come from senders that knew of the outage: 25 were refused once during it, 24 twice and 3 three times.
+    One refusal says little, and the breaker opens at the third. The second was not compared with the time
+    of the first. Now a refusal more than 3 s after the first, with no call accepted since, shows an outage.
     """
     assert not overloaded_by_informed_senders(Scenario(200, 30.0, Outcome.FULL, seed=32))
--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -1,4 +1,4 @@
-"""The decision module keeps the operators' limits on its size, its names and what it may touch."""
+"""The decision modules keep to the operators' limits on line length and imports."""
 
 import ast
 from pathlib import Path
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""What a restart finds: untried messages are tried, repeats keep their window, readiness waits for nobody."""
+"""After a restart: untried messages are sent, repeats keep to the dedup window, the node gets ready alone."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -12,9 +12,11 @@
 
 
 @pytest.mark.parametrize("senders", [2, 30, 200])
-@pytest.mark.parametrize("refusals", [0, 1, 2], ids=["all taken", "one refused first", "two refused first"])
+@pytest.mark.parametrize(
+    "refusals", [0, 1, 2], ids=["all accepted", "one refused first", "two refused first"]
+)
 def test_untried_messages_of_the_previous_process_are_sent(senders: int, refusals: int) -> None:
-    """With half of their time left, and though the new life knows nothing and is turned away at first."""
+    """Half of their time is left, the new process knows no destination, and its first calls are refused."""
     driver = Driver(endpoint(1, rate=8.0), senders=senders, max_calls=24)
     pending = range(1, 13)
     driver.turn(1.0, *(api.MessageReceived(number, number % 3, 1, 11.0) for number in pending))
@@ -51,7 +53,7 @@
 
 
 def test_a_node_gets_ready_while_no_other_system_answers(tmp_path: Path) -> None:
-    """No list, no platform and no endpoint answer, and the folder holds what is owed."""
+    """The list, the platform and the endpoint do not answer, and the state directory has pending messages."""
     platform, server = ScriptedPlatform(), ScriptedEndpoint(None)
     platform.add_member(server, 1)
     node = Node(tmp_path, platform).start()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The six rules, held against generated scripts of events. Nothing here models a server."""
+"""Property-based tests of the six rules of the decisions, on generated scripts of events.
+
+They do not model endpoints.
+"""
 
 from dataclasses import replace
 
@@ -21,7 +24,7 @@
 
 STEP = st.tuples(
     st.sampled_from(
-        ("receive", "receive", "end", "end", "wait", "withdraw", "drain", "return", "stale", "note")
+        ("receive", "receive", "end", "end", "wait", "withdraw", "drain", "undrain", "stale", "gossip")
     ),
     st.integers(0, 7),
     st.sampled_from(tuple(api.Outcome)),
@@ -31,7 +34,7 @@
 
 
 class RuleChecker:
-    """Carries out a script against one sender and asserts every rule on every action."""
+    """Runs a script of events against one sender and checks the rules on each action."""
 
     def __init__(self, **changes: object) -> None:
         self.settings = replace(SETTINGS, **changes)  # type: ignore[arg-type]
@@ -84,20 +87,22 @@
 
     def check_refusal(self, number: int) -> None:
         message_class = self.settings.classes[self.messages[number].message_class]
-        assert number not in self.in_flight, "refused with an attempt out"
+        assert number not in self.in_flight, "refused with an attempt in flight"
         if message_class.effect is api.Effect.UNSAFE:
             assert number not in self.may_have_run_at, "an unsafe message that may have run was refused"
         if message_class.effect is api.Effect.KEYED and message_class.dedup_scope is api.DedupScope.ZONE:
-            assert number not in self.may_have_run_at, "a client may take it to a zone that does not know it"
+            assert number not in self.may_have_run_at, (
+                "its client may submit it in a zone that does not know it"
+            )
 
     def check_send(self, action: api.Send, retry_after_until: dict[int, float]) -> None:
         number, message = action.message, self.messages[action.message]
         message_class, destination = self.settings.classes[message.message_class], message.destination
-        assert number not in self.finished, "sent after its end"
-        assert number not in self.in_flight, "two attempts out together"
+        assert number not in self.finished, "sent after its final answer"
+        assert number not in self.in_flight, "two attempts in flight together"
         assert DESTINATION_BY_ADDRESS[action.endpoint] == destination
-        assert action.endpoint not in self.draining_endpoints, "sent to a drained endpoint"
-        assert self.now >= retry_after_until.get(destination, 0.0), "sent inside a told wait"
+        assert action.endpoint not in self.draining_endpoints, "sent to a draining endpoint"
+        assert self.now >= retry_after_until.get(destination, 0.0), "sent before a retry-after has passed"
         if number in self.may_have_run_at:
             assert message_class.effect is not api.Effect.UNSAFE
             if message_class.effect is api.Effect.KEYED:
@@ -110,9 +115,11 @@
         if message_class.ordered and message.key is not None:
             key_queue = self.messages_by_key[message.key]
             for earlier in key_queue[: key_queue.index(number)]:
-                assert earlier in self.finished, "out of turn"
-                assert earlier not in self.in_flight, "an earlier message's attempt is still out"
-                assert self.now >= self.order_pause_until.get(earlier, 0.0), "the key has not rested"
+                assert earlier in self.finished, "sent before an earlier message of its key has finished"
+                assert earlier not in self.in_flight, "an earlier message's attempt is still in flight"
+                assert self.now >= self.order_pause_until.get(earlier, 0.0), (
+                    "sent within the order pause of its key"
+                )
         self.in_flight[number] = (action.endpoint, self.attempts.get(number, 0), self.now)
         self.attempts[number] = self.attempts.get(number, 0) + 1
         self.timeout_at[number] = min(message.due, action.give_up_at or message.due)
@@ -144,7 +151,7 @@
         )
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass: time-outs and timers come when they are due, in the order that the wire gives."""
+        """Advance the clock. Timeouts and timers occur when they are due, in the order of a real node."""
         until = self.now + seconds
         while True:
             due = [(self.timeout_at[n], 0, n) for n in self.in_flight] + [
@@ -193,7 +200,7 @@
                         api.TimerFired(10_000),
                         api.AttemptEnded(10_000, address(1), 0, 0.1, False, outcome),
                     )
-                case "drain" | "return":
+                case "drain" | "undrain":
                     endpoint_address = sorted(DESTINATION_BY_ADDRESS)[pick % len(DESTINATION_BY_ADDRESS)]
                     draining = step == "drain"
                     (self.draining_endpoints.add if draining else self.draining_endpoints.discard)(
@@ -209,7 +216,7 @@
                         zone=ZONES[endpoint_address],
                     )
                     self.turn(api.EndpointsUpdated(api.UpdateScope.DELTA, 2, (updated_endpoint,)))
-                case "note":
+                case "gossip":
                     key = (b"\x01", b"\x02", address(3)[0] + address(3)[1].to_bytes(2), b"")[pick % 4]
                     self.turn(api.PeerMessage(1, (b"F", b"S", b"C", b"?")[pick // 2] + key))
         self.pass_time(25.0)
