--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -30,17 +30,18 @@
 FAILURE_WINDOW = 10.0
 """Seconds over which failures and arrivals are counted, and for which a failed route is avoided."""
 FAILURE_THRESHOLD = 3
-"""Failures of a sender's own calls within the window that open the breaker."""
+"""Failures within the window that open the breaker, without those announced by gossip."""
 GOSSIP_FAILURE_THRESHOLD = 6
-"""Failures announced by gossip, counted over all senders, that open the breaker."""
+"""Failures within the window, announced by gossip and of all senders together, that open the breaker."""
 TOLERATED_FAILURE_RATIO = 0.25
 """Failures per success in the window below which errors do not open the breaker."""
 OPEN_DURATION = 2.0
-"""Seconds for which the breaker opens. Longer waits would use up the queue capacity of a small sender."""
+"""Seconds for which the breaker opens. Longer waits would fill a small sender to `max_pending`."""
 OUTAGE_AFTER = 3.0
 """Seconds of refused calls with none accepted after which the destination counts as down and not as busy."""
 MAX_EVEN_SHARE_MULTIPLE = 1.5
-"""Even shares of a known rate that one sender may use until a call has succeeded after an outage."""
+"""Most that one sender uses of a known rate until a call has succeeded after an outage, as a multiple of an
+even share."""
 BUSY_REMAINING_SHARE = 0.75
 """Remaining share of a reported limit below which a refusal is due to that limit and not to an outage."""
 LOW_REMAINING_SHARE = 1.0 - BUSY_REMAINING_SHARE
@@ -82,7 +83,7 @@
 MIN_IDLE_SHARE = 0.1
 """Share of the keep-alive time; connections idle for less say nothing about lost idle connections."""
 DESTINATION_SLOT_DIVISOR = 3
-"""A destination may hold this fraction (one third) of the call slots, and at least two."""
+"""A destination may use one in this many of the call slots, and at least two."""
 
 GOSSIP_FAILURE, GOSSIP_SUCCESS, GOSSIP_CROWDED = b"F", b"S", b"C"
 """First byte of a gossip message; the rest is the key of a breaker scope."""
@@ -119,7 +120,7 @@
         self._shortest_lost_idle = NEVER  # the shortest idle time after which a call was lost, in seconds
         # The zone to which calls cost less; None if all zones cost the same.
         self._home_zone = settings.zone if settings.cross_zone_price else None
-        self._active_queues: dict[DestinationQueue, None] = {}  # not empty, in order of arrival
+        self._active_queues: dict[DestinationQueue, None] = {}  # those with messages, in order of arrival
         self._expiry_heap: list[tuple[float, int]] = []  # latest attempt start, message
         self._overdue_heap: list[tuple[float, int, Call]] = []  # when overdue, tie-breaker, call
         self._stuck_calls: list[Call] = []  # overdue calls, oldest first
@@ -132,7 +133,9 @@
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
         """Process all events that arrived together and return the resulting actions."""
         self._now, self._actions = now, []
-        changed = not events  # whether calls may go now that could not before; a turn without events: by time
+        # Whether this may change which calls can be sent: a turn without events by the time that has passed,
+        # gossip not always.
+        changed = not events
         for event in events:
             changed |= not isinstance(event, api.PeerMessage) or self._receive_gossip(event.data)
             match event:
@@ -282,7 +285,7 @@
             self._actions.append(api.TellPeer(None, gossip_type + scope.gossip_key))
 
     def _receive_gossip(self, data: bytes) -> bool:
-        """Count a failure, or reset the count after a success; returns whether calls may now go otherwise."""
+        """Count a failure, or end the count after a success; returns whether other calls can go now."""
         gossip_type, scope = data[:1], self._scopes_by_key.get(data[1:])
         if gossip_type == GOSSIP_CROWDED:
             self._crowded_until = self._now + CROWDED_DURATION
@@ -345,8 +348,8 @@
 
         Where no rate is known, by its arrivals alone.
         """
-        # The known rate limits calls. Arrivals are messages, and a batch call carries several:
-        # counted one by one, they would take the limit many times over.
+        # The known rate is a limit on calls. Arrivals are messages, and a batch call carries several: counted
+        # one by one, they would use the limit many times over.
         arrival_rate, known_rate = self._arrival_rate(scope), scope.reported_limit or scope.listed_rate
         own_call_rate = arrival_rate / scope.destination.kind.max_batch
         return min(known_rate, max(own_call_rate, known_rate / self._settings.senders)) or max(
@@ -478,7 +481,7 @@
         return max(self._now, self._earliest_close(message)) > self._latest_attempt_start(message)
 
     def _earliest_close(self, message: Message) -> float:
-        """When the first breaker of the message's routes closes; 0 without a route, since one may come."""
+        """When the first breaker of the message's routes closes. Without a route 0: no reason to refuse."""
         breakers = [self._breakers.get(route.breaker_scope) for route in self._queue_for(message).routes()]
         return min((breaker.open_until if breaker else 0.0 for breaker in breakers), default=0.0)
 
@@ -545,7 +548,7 @@
         }
 
         def shed_priority(message: Message) -> tuple[bool, float, float, float, int]:
-            # Messages that would fail, because their client may not retry, come last.
+            # Messages that would fail, because their client may not retry, are shed last.
             drain_time = drain_times[message.destination]
             preferred = drain_time > 0.0 and self._may_refuse(message)
             return preferred, drain_time, -message.message_class.worth, message.latency_target_at, message.id
