--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -447,7 +447,10 @@
         return message.may_have_run_at + message_class.dedup_window
 
     def _may_refuse(self, message: Message) -> bool:
-        """Whether the client may submit the message again; it may do so in a zone that does not know it."""
+        """Whether the client may submit the message again.
+
+        It may do so in any zone, so not if the message may have run and only one zone drops its repeats.
+        """
         return self._now < self._repeatable_until(message) and not (
             message.zone_scoped_dedup and message.may_have_run_at
         )
@@ -488,8 +491,8 @@
     def _give_up(self, message: Message) -> None:
         """Give the final answer for a message that is not sent again: a refusal if the client may retry."""
         if self._may_refuse(message):
-            # The client is told when a call may go. If the message may have run, it is told when the breaker
-            # closes, so that it retries while the endpoint still recognizes the message.
+            # Advise the client to retry when a call may go. If the message may have run, advise the time at
+            # which the breaker closes, so that the endpoint still recognizes the repeat.
             retry_at = (
                 self._queue_available_at(self._queue_for(message))
                 if message.may_have_run_at is None
@@ -937,7 +940,7 @@
         return route.calls_in_flight < route.connections * self._settings.calls_per_connection
 
     def _take_message(self, queue: DestinationQueue, unproven: bool) -> Message:
-        """Remove and return the next message; a repeatable one until a call succeeds after an outage."""
+        """Remove and return the next message; until a call succeeds after an outage, repeatable ones first."""
         for message in queue.queued_messages() if unproven else ():
             if message.message_class.effect is not Effect.UNSAFE:
                 # Its entry is removed now, because the message may move to the queue of a zone next.
