--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -940,7 +940,7 @@
         return route.calls_in_flight < route.connections * self._settings.calls_per_connection
 
     def _take_message(self, queue: DestinationQueue, unproven: bool) -> Message:
-        """Remove and return the next message; until a call succeeds after an outage, repeatable ones first."""
+        """Remove and return the next message; repeatable ones first until a call succeeds after an outage."""
         for message in queue.queued_messages() if unproven else ():
             if message.message_class.effect is not Effect.UNSAFE:
                 # Its entry is removed now, because the message may move to the queue of a zone next.
