--- a/tests/node/test_notices.py
+++ b/tests/node/test_notices.py
@@ -35,9 +35,9 @@
     add_message(store, 1)
     store.write([store.finish(1, "dead")], 1000.0)
     with listening_socket() as server:
-        sender = NoticeSender(server.getsockname(), store, Counters())
-        worker = gevent.spawn(sender.run)
-        sender.add(store.entries[1])
+        notice_sender = NoticeSender(server.getsockname(), store, Counters())
+        worker = gevent.spawn(notice_sender.run)
+        notice_sender.add(store.entries[1])
         with gevent.Timeout(20.0, AssertionError("the notice was not sent again")):
             first, _ = server.accept()
             first.sendall(response)
@@ -52,7 +52,7 @@
             second, _ = server.accept()
             assert b'{"ref": "m1", "result": "dead"}' in second.recv(65536)
             second.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-            wait_until(lambda: sender.idle)
+            wait_until(lambda: notice_sender.idle)
         trickling.kill()
         worker.kill()
         for connection in (first, second):
@@ -67,15 +67,15 @@
         add_message(store, number)
         store.write([store.finish(number, "dead")], 1000.0)
     with listening_socket() as server:
-        sender = NoticeSender(server.getsockname(), store, Counters())
-        worker = gevent.spawn(sender.run)
-        sender.add(store.entries[1])
+        notice_sender = NoticeSender(server.getsockname(), store, Counters())
+        worker = gevent.spawn(notice_sender.run)
+        notice_sender.add(store.entries[1])
         first, _ = server.accept()
         assert first.recv(65536)
         first.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-        wait_until(lambda: sender.idle)
+        wait_until(lambda: notice_sender.idle)
         added_at = time.monotonic()
-        sender.add(store.entries[2])
+        notice_sender.add(store.entries[2])
         with gevent.Timeout(20.0, AssertionError("the notice was not sent again")):
             second, _ = server.accept()
             assert b'{"ref": "m2", "result": "dead"}' in second.recv(65536)
@@ -92,9 +92,9 @@
     add_message(store, 1)
     store.write([store.finish(1, "dead")], 1000.0)
     with listening_socket() as server:
-        sender = NoticeSender(server.getsockname(), store, Counters())
-        worker = gevent.spawn(sender.run)
-        sender.add(store.entries[1])
+        notice_sender = NoticeSender(server.getsockname(), store, Counters())
+        worker = gevent.spawn(notice_sender.run)
+        notice_sender.add(store.entries[1])
         for _ in range(5):
             failed, _ = server.accept()
             failed.recv(65536)
--- a/tests/test_node_clients.py
+++ b/tests/test_node_clients.py
@@ -106,9 +106,7 @@
 def test_oversized_body_is_discarded_so_that_answer_arrives(tmp_path: Path) -> None:
     with node_and_platform(tmp_path, ScriptedEndpoint()) as (node, _):
         client = node.connect()
-        client.send(
-            message_request("m1", body=bytes(30_000_000))
-        )  # sent completely before the answer is read
+        client.send(message_request("m1", body=bytes(30_000_000)))  # returns once all of it is sent
         assert client.read_response().status == 413
         assert client.is_closed()
         client.close()
