--- a/irisstack/cli/capacity.py
+++ b/irisstack/cli/capacity.py
@@ -44,7 +44,7 @@
 
     if name != "all" and name not in MEASUREMENTS:
         known = ", ".join(MEASUREMENTS)
-        output.fail(f"{name}: one of {known} or all is due", output.ASKED_WRONGLY)
+        output.fail(f"{name}: one of {known} or all is due", output.USAGE_ERROR)
     wanted = list(MEASUREMENTS.values()) if name == "all" else [MEASUREMENTS[name]]
     for measurement in wanted:
         label = measurement.name
--- a/irisstack/cli/config.py
+++ b/irisstack/cli/config.py
@@ -63,7 +63,7 @@
             rows.append((key, os.environ[variable], variable))
         else:
             rows.append((key, value, "file" if key in told else "default"))
-    output.table(("key", "value", "from"), rows, as_json, title=f"{file}: {found}")
+    output.print_table(("key", "value", "from"), rows, as_json, title=f"{file}: {found}")
 
 
 @config.command()
--- a/irisstack/cli/lab.py
+++ b/irisstack/cli/lab.py
@@ -62,7 +62,7 @@
         BarColumn(),
         TextColumn("{task.percentage:>3.0f}%"),
         TimeRemainingColumn(),
-        console=output.talk(),
+        console=output.stderr_console(),
         transient=True,
     ) as progress:
         task = progress.add_task(what, total=1.0)
@@ -86,10 +86,10 @@
             except tomllib.TOMLDecodeError:
                 told[key] = value
             if not equals:
-                output.fail(f"--set {change}: KEY=VALUE is due", output.ASKED_WRONGLY)
+                output.fail(f"--set {change}: KEY=VALUE is due", output.USAGE_ERROR)
         return scenario.changed(found, told, path) if told else found
     except DocumentError as error:
-        output.fail(str(error), output.ASKED_WRONGLY)
+        output.fail(str(error), output.USAGE_ERROR)
 
 
 def _show(run: "Run", as_json: bool) -> None:
@@ -109,7 +109,7 @@
         ]
         for name, ends in run.ends_by_class.items()
     ]
-    output.table(
+    output.print_table(
         ["class", *results, "worth", "median s", "99 % s"],
         rows,
         False,
@@ -134,7 +134,7 @@
     from irisstack.lab import scenario
 
     found = [scenario.read(path) for path in sorted(scenario.SHIPPED.glob("*.toml"))]
-    output.table(
+    output.print_table(
         ["name", "seconds", "nodes", "destinations", "shows"],
         [
             [
@@ -160,7 +160,7 @@
 
     found = _scenario(scenario, changes)
     world = build(found)
-    output.table(
+    output.print_table(
         ["what", "value"],
         [
             ["name", found.scenario.name],
@@ -201,7 +201,7 @@
     from irisstack.lab.world import build
 
     if policy not in POLICIES:
-        output.fail(f"--policy: one of {', '.join(POLICIES)} is due, not {policy!r}", output.ASKED_WRONGLY)
+        output.fail(f"--policy: one of {', '.join(POLICIES)} is due, not {policy!r}", output.USAGE_ERROR)
     found = _scenario(scenario, changes)
     seed = found.scenario.seed if seed is None else seed
     world = build(found, seed)
@@ -305,7 +305,7 @@
         search.write_page(folder / "report.html", found.scenario.name, steps_played)
     except (RunError, OSError) as error:
         output.fail(str(error))
-    output.table(search.COLUMNS, search.rows(steps_played), as_json)
+    output.print_table(search.COLUMNS, search.rows(steps_played), as_json)
     click.echo(search.summary(steps_played), err=True)
 
 
@@ -337,7 +337,7 @@
         told = experiments.read(experiment)
         work = experiments.jobs(told, experiment)
     except DocumentError as error:
-        output.fail(str(error), output.ASKED_WRONGLY)
+        output.fail(str(error), output.USAGE_ERROR)
     folder = out / told.experiment.name
     runs: list[Run] = []
     try:
@@ -363,7 +363,7 @@
     from irisstack.lab import compare
 
     columns = ("scenario", "variant", "runs", "score", "low", "high", "whole", "in vain", "rules broken in")
-    output.table(
+    output.print_table(
         columns,
         [
             [s.scenario, s.variant, s.runs, s.score, s.low, s.high, s.whole, s.waste, s.broken]
@@ -390,7 +390,7 @@
             return [results.load(path)]
         file = path / "runs.jsonl" if path.is_dir() else path
         if not file.exists():
-            output.fail(f"{path}: no results there", output.ASKED_WRONGLY)
+            output.fail(f"{path}: no results there", output.USAGE_ERROR)
         return experiment.kept(file)
     except (OSError, ValueError) as error:
         output.fail(str(error))
@@ -414,16 +414,16 @@
             if name not in names:
                 output.fail(
                     f"no variant {name!r} in {where}; there are {', '.join(sorted(names))}",
-                    output.ASKED_WRONGLY,
+                    output.USAGE_ERROR,
                 )
         left, right = ([run for run in runs if run.variant == name] for name in (a, b))
     else:
         left, right = _runs(Path(a)), _runs(Path(b))
     found = comparing.differences(left, right)
     if not found:
-        output.fail("nothing to compare: no scenario and seed that both have", output.ASKED_WRONGLY)
+        output.fail("nothing to compare: no scenario and seed that both have", output.USAGE_ERROR)
     columns = ("scenario", "figure", "pairs", a, b, "difference", "low", "high", "outcome")
-    output.table(
+    output.print_table(
         columns,
         [
             [d.scenario, d.metric, d.pairs, d.mean_a, d.mean_b, d.difference, d.low, d.high, d.words(a, b)]
--- a/irisstack/cli/output.py
+++ b/irisstack/cli/output.py
@@ -10,17 +10,19 @@
 from rich.table import Table
 
 FAILED = 1
-ASKED_WRONGLY = 2
+USAGE_ERROR = 2
 
 json_option = click.option("--json", "as_json", is_flag=True, help="print JSON instead of a table")
 
 
-def talk() -> Console:
+def stderr_console() -> Console:
     """Where progress and remarks go."""
     return Console(stderr=True)
 
 
-def table(columns: Sequence[str], rows: Sequence[Sequence[Any]], as_json: bool, title: str = "") -> None:
+def print_table(
+    columns: Sequence[str], rows: Sequence[Sequence[Any]], as_json: bool, title: str = ""
+) -> None:
     """Print rows; numbers stand to the right. As JSON: a list with an object for each row."""
     if as_json:
         print_json([dict(zip(columns, row, strict=True)) for row in rows])
@@ -31,11 +33,11 @@
         numeric = any(isinstance(row[i], int | float) for row in rows)
         grid.add_column(name, justify="right" if numeric else "left", overflow="fold")
     for row in rows:
-        grid.add_row(*(cell(value) for value in row))
+        grid.add_row(*(format_cell(value) for value in row))
     console.print(grid)
 
 
-def cell(value: Any) -> str:
+def format_cell(value: Any) -> str:
     """One value as a person reads it."""
     if value is None:
         return "-"
--- a/irisstack/cli/root.py
+++ b/irisstack/cli/root.py
@@ -9,7 +9,7 @@
 
 from irisstack.cli.config import config
 from irisstack.cli.lab import lab
-from irisstack.cli.output import ASKED_WRONGLY, FAILED
+from irisstack.cli.output import FAILED, USAGE_ERROR
 from irisstack.cli.scale import scale
 from irisstack.cli.settings import settings
 from irisstack.common import logs
@@ -82,7 +82,7 @@
         return stop.exit_code
     except click.ClickException as error:
         error.show()
-        return ASKED_WRONGLY
+        return USAGE_ERROR
     except (click.Abort, KeyboardInterrupt):
         click.echo("irisstack: interrupted", err=True)
         return FAILED
--- a/irisstack/cli/scale.py
+++ b/irisstack/cli/scale.py
@@ -26,7 +26,7 @@
     from irisstack.lab.scale.experiments import EXPERIMENTS
 
     rows = [(each.name, each.variable, each.title) for each in EXPERIMENTS.values()]
-    output.table(("experiment", "sizes count", "measures"), rows, as_json)
+    output.print_table(("experiment", "sizes count", "measures"), rows, as_json)
 
 
 @scale.command()
@@ -42,7 +42,7 @@
 
     _check_names(names, tuple(EXPERIMENTS))
     if sizes is not None and len(names) != 1:
-        output.fail("--sizes: one experiment is due with it", output.ASKED_WRONGLY)
+        output.fail("--sizes: one experiment is due with it", output.USAGE_ERROR)
     wanted = _sizes(sizes) if sizes is not None else None
     measured: list[Slope] = []
     for name in names or tuple(EXPERIMENTS):
@@ -82,7 +82,7 @@
         rows.append(row(name, found))
         sound &= found.sound
         click.echo(f"{name}: {time.monotonic() - began:.1f} s", err=True)
-    output.table(COLUMNS, rows, as_json)
+    output.print_table(COLUMNS, rows, as_json)
     if not sound:
         output.fail("a node was left behind, or put in force what was never written")
 
@@ -90,7 +90,7 @@
 def _check_names(names: tuple[str, ...], known: tuple[str, ...]) -> None:
     for name in names:
         if name not in known:
-            output.fail(f"no experiment {name!r}; there are {', '.join(known)}", output.ASKED_WRONGLY)
+            output.fail(f"no experiment {name!r}; there are {', '.join(known)}", output.USAGE_ERROR)
 
 
 def _sizes(text: str) -> list[int]:
@@ -99,7 +99,7 @@
     if not all(word.isascii() and word.isdigit() and 1 <= int(word) <= LARGEST for word in words):
         output.fail(
             f"--sizes {text}: whole numbers from 1 to {LARGEST} with commas between them are due",
-            output.ASKED_WRONGLY,
+            output.USAGE_ERROR,
         )
     return sorted({int(word) for word in words})
 
@@ -115,9 +115,9 @@
             for slope in slopes
             for point in slope.points
         ]
-        output.table(columns, rows, as_json)
+        output.print_table(columns, rows, as_json)
         return
-    output.table(
+    output.print_table(
         ("slope", "unit", "sizes count", "size: value"),
         [
             (
@@ -141,11 +141,11 @@
 
     files = sorted(folder.glob("*.json"))
     if not files:
-        output.fail(f"{folder}: no slopes there", output.ASKED_WRONGLY)
+        output.fail(f"{folder}: no slopes there", output.USAGE_ERROR)
     slopes: list[Slope] = []
     for path in files:
         try:
             slopes.append(read(path))
         except (OSError, ValueError, KeyError, TypeError) as error:
-            output.fail(f"{path}: no slope: {error!r}", output.ASKED_WRONGLY)
+            output.fail(f"{path}: no slope: {error!r}", output.USAGE_ERROR)
     click.echo(markdown(slopes), nl=False)
--- a/irisstack/cli/settings.py
+++ b/irisstack/cli/settings.py
@@ -47,7 +47,7 @@
         output.print_json({"revision": before.revision, "items": values})
     else:
         rows = [(path, _shown(value)) for path, value in sorted(values.items())]
-        output.table(("path", "value"), rows, as_json, f"revision {before.revision}")
+        output.print_table(("path", "value"), rows, as_json, f"revision {before.revision}")
 
 
 @settings.command()
@@ -97,7 +97,7 @@
     try:
         return load({"RELAY_CONFIG": str(node_file), "RELAY_STATE": tempfile.gettempdir()})
     except ConfigError as error:
-        output.fail(str(error), output.ASKED_WRONGLY)
+        output.fail(str(error), output.USAGE_ERROR)
 
 
 def _publisher(config: "Config") -> "SettingsPublisher":
@@ -105,7 +105,7 @@
 
     source = config.dynamic_settings
     if source is None:
-        output.fail("dynamic_settings: is due in the node's file", output.ASKED_WRONGLY)
+        output.fail("dynamic_settings: is due in the node's file", output.USAGE_ERROR)
     return SettingsPublisher(source.members, source.prefix)
 
 
