--- a/irisstack/node/http.py
+++ b/irisstack/node/http.py
@@ -73,14 +73,12 @@
             if not self.headers_complete:
                 self._head_size += size
                 if self._head_size > MAX_HEAD:
-                    raise BadMessage(
-                        HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"headers exceed {MAX_HEAD} bytes"
-                    )
+                    raise BadMessage(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
             try:
                 self._parser.feed_data(buffer.take(size))
                 self._first_line_read = True
             except httptools.HttpParserUpgrade:
-                raise BadMessage(HTTPStatus.BAD_REQUEST, "protocol upgrades are not supported") from None
+                raise BadMessage(HTTPStatus.BAD_REQUEST, "no other protocol is spoken here") from None
             except httptools.HttpParserCallbackError as error:
                 if isinstance(error.__context__, BadMessage):
                     raise error.__context__ from None
@@ -104,7 +102,7 @@
                 if self.headers_complete
                 else HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             )
-            raise BadMessage(status, "line too long")
+            raise BadMessage(status, "a line is too long")
         return size
 
     # Callbacks of httptools:
@@ -125,14 +123,14 @@
         if length is not None and not self._chunked:
             self._body_remaining = int(length)
             if self._body_remaining > self.max_body:
-                raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body exceeds {self.max_body} bytes")
+                raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
 
     def on_body(self, body: bytes) -> None:
         self.message.body += body
         if self._body_remaining is not None:
             self._body_remaining -= len(body)
         if len(self.message.body) > self.max_body:
-            raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body exceeds {self.max_body} bytes")
+            raise BadMessage(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
 
     def on_message_complete(self) -> None:
         self._complete = True
@@ -171,7 +169,7 @@
                 return message
             self._interim_count += 1
             if self._interim_count > MAX_INTERIM:
-                raise BadMessage(HTTPStatus.BAD_REQUEST, f"more than {MAX_INTERIM} interim responses")
+                raise BadMessage(HTTPStatus.BAD_REQUEST, "too many answers ahead")
         return None
 
     def finish_at_eof(self) -> Message | None:
--- a/irisstack/node/intake.py
+++ b/irisstack/node/intake.py
@@ -179,7 +179,7 @@
             except TimeoutError:
                 if not started:
                     return None
-                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "request not complete in time") from None
+                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "the request took too long") from None
             except OSError:
                 if not self._stop_wakeup:
                     raise
@@ -189,12 +189,10 @@
                 if not started:
                     return None
                 if self.stopped:
-                    raise http.BadMessage(HTTPStatus.SERVICE_UNAVAILABLE, "connection is closing")
-                raise http.BadMessage(
-                    HTTPStatus.BAD_REQUEST, "connection closed before the end of the request"
-                )
+                    raise http.BadMessage(HTTPStatus.SERVICE_UNAVAILABLE, "the connection was to end")
+                raise http.BadMessage(HTTPStatus.BAD_REQUEST, "the request ended early")
             if deadline is not None and time.monotonic() > deadline:
-                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "request not complete in time")
+                raise http.BadMessage(HTTPStatus.REQUEST_TIMEOUT, "the request took too long")
         return request
 
     def _send_continue(self) -> None:
@@ -452,17 +450,17 @@
     def make_submission(self, request: http.Message, name: str, client: _Connection) -> Submission:
         """The message that a request submits to the class `name` of its path."""
         if request.headers.get("x-priority-class", name) != name:
-            raise _MalformedRequest("X-Priority-Class: differs from the class in the path")
+            raise _MalformedRequest("X-Priority-Class: not the class that the path names")
         index = self.classes[name]
         key = _header_word(request, "Idempotency-Key")
         if self._message_classes[index].effect is api.Effect.KEYED and not key:
-            raise _MalformedRequest("Idempotency-Key: required in this class")
+            raise _MalformedRequest("Idempotency-Key: due in this class")
         id_ = _header_word(request, "X-Request-ID")
         if not id_:
-            raise _MalformedRequest("X-Request-ID: required")
+            raise _MalformedRequest("X-Request-ID: due")
         tenant = request.headers.get("x-tenant-id", "")
         if tenant and self._tenants and tenant not in self._tenants:
-            raise _MalformedRequest("X-Tenant-Id: unknown tenant")
+            raise _MalformedRequest("X-Tenant-Id: unknown")
         retried = request.headers.get("x-retried", "")
         timeout = min(_timeout_seconds(request), self._message_classes[index].deadline)
         return Submission(
@@ -486,16 +484,14 @@
     """
     text = request.headers.get(name.lower(), "")
     if len(text) > MAX_HEADER_VALUE or not text.isascii() or any(c <= " " or c == "\x7f" for c in text):
-        raise _MalformedRequest(
-            f"{name}: expected at most {MAX_HEADER_VALUE} printable ASCII characters without spaces"
-        )
+        raise _MalformedRequest(f"{name}: one word of at most {MAX_HEADER_VALUE} printable characters is due")
     return text
 
 
 def _timeout_seconds(request: http.Message) -> float:
     text = request.headers.get("x-timeout", "")
     if not SECONDS_PATTERN.fullmatch(text):
-        raise _MalformedRequest("X-Timeout: expected a number of seconds")
+        raise _MalformedRequest("X-Timeout: seconds are due")
     return float(text)
 
 
@@ -504,4 +500,4 @@
         name, _, value = item.strip().partition("=")
         if name == "dest" and NUMBER_PATTERN.fullmatch(value):
             return int(value)
-    raise _MalformedRequest("X-Consignee: expected dest=NUMBER")
+    raise _MalformedRequest("X-Consignee: dest=NUMBER is due")
