--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -25,7 +25,7 @@
 from gevent.fileobject import FileObjectPosix
 
 from irisstack.common import logs
-from irisstack.dynamic_settings.snapshot import SnapshotFile
+from irisstack.dynamic_settings.snapshot import SavedSettingsFile
 from irisstack.lab.scale.results import Point, Slope, mean, write
 from irisstack.lab.scale.settings_fleet import MEMBERS, Document, FleetSize, encoded, key_of
 from irisstack.lab.standins.etcd_server import EtcdServer
@@ -151,7 +151,7 @@
             state.mkdir()
             seed = arguments.first + number
             watch = SettingsWatch(
-                members, PREFIX, BYTES_PER_S, SnapshotFile(state), take, applied.apply, counters, seed
+                members, PREFIX, BYTES_PER_S, SavedSettingsFile(state), take, applied.apply, counters, seed
             )
             gevent.spawn_later(START_SPREAD_S * number / arguments.count, watch.run)
         while applied.nodes.get(arguments.revision, 0) < arguments.count:
--- a/irisstack/dynamic_settings/budget.py
+++ b/irisstack/dynamic_settings/budget.py
@@ -1,6 +1,6 @@
 """How many bytes a second the node may spend on following the settings."""
 
-PIECE_BYTES = 256
+READ_CHUNK_BYTES = 256
 """Most bytes to read from a connection at once, so that a debt stays small."""
 BURST_S = 0.02
 """A budget that has rested holds what so many seconds bring: a timer which fires late loses nothing."""
@@ -18,7 +18,7 @@
 
     def __init__(self, bytes_per_s: float, now: float) -> None:
         self._most = BURST_S * bytes_per_s
-        self.rate = bytes_per_s - self._most - PIECE_BYTES
+        self.rate = bytes_per_s - self._most - READ_CHUNK_BYTES
         """Bytes earned in a second."""
         self._balance = self._most
         self._at = now
--- a/irisstack/dynamic_settings/decisions.py
+++ b/irisstack/dynamic_settings/decisions.py
@@ -1,7 +1,7 @@
 """The follower's decisions: what to ask of which member, what to take, what to refuse. No clock, no I/O.
 
-`Follower.step(now, events)` is told what happened and gives what to do. It keeps one main call and beside it,
-now and then, a small one, the check:
+`SettingsFollower.step(now, events)` is told what happened and gives what to do. It keeps one main call and
+beside it, now and then, a small one, the check:
 
     WAITING   no main call; the next begins at a time drawn at random
     FETCHING  a snapshot, page by page, every page at the revision of the first
@@ -21,10 +21,10 @@
 Time until a change is in force, at most, with one member that died without a word just before it, the change
 itself being small:
 
-    CHECK_MAX_S         4.0   the next check begins
+    CHECK_INTERVAL_MAX_S 4.0  the next check begins
     CONNECT_TIMEOUT_S   1.5   it is at the dead member: no connection,
     ANSWER_TIMEOUT_S    2.0     or a connection and no answer
-    CHECK_RETRY_S       0.5   the next check, at another member, finds the watch doubtful and moves it there
+    CHECK_RETRY_BASE_S  0.5   the next check, at another member, finds the watch doubtful and moves it there
                         8.0   in force, and 10 s are left: should that member be dead too, 3.5 s for the
                               time-outs and at most 1 s for the next check bring it to 12.5
 
@@ -48,37 +48,37 @@
 from irisstack.dynamic_settings.etcd import (
     ErrorKind,
     GatewayError,
-    RangeAnswer,
     RangeRequest,
+    RangeResponse,
     ResponseHeader,
-    WatchAnswer,
     WatchEvent,
     WatchRequest,
-    range_end_of,
+    WatchResponse,
+    prefix_range_end,
 )
 from irisstack.dynamic_settings.events import (
     Action,
-    AskRange,
     CallFailed,
-    Count,
+    CancelCall,
     DocumentAccepted,
     DocumentRefused,
-    EndCall,
     Event,
     FailureKind,
     FrameProgress,
+    IncrementCounter,
     Log,
     LogLevel,
     OpenWatch,
     ProposeDocument,
-    RangeAnswered,
+    RangeResponseReceived,
+    SendRangeRequest,
     WakeAt,
-    WatchAnswered,
+    WatchResponseReceived,
 )
-from irisstack.dynamic_settings.items import StreamItems, TooLarge
-from irisstack.dynamic_settings.members import FAILED_FOR_S, LIED_FOR_S, Members
+from irisstack.dynamic_settings.items import DocumentTooLargeError, StreamItems
+from irisstack.dynamic_settings.members import CONTRADICTION_SUSPICION_S, FAILURE_SUSPICION_S, Members
 from irisstack.dynamic_settings.pages import SnapshotPages
-from irisstack.dynamic_settings.staleness import Staleness
+from irisstack.dynamic_settings.staleness import StalenessMonitor
 
 CONNECT_TIMEOUT_S = 1.5
 """Seconds until a connection that does not come about counts as failed."""
@@ -88,20 +88,20 @@
 """The first retry comes within this time, drawn at random; the range doubles with each failure."""
 RETRY_CAP_S = 5.0
 """Where that doubling ends."""
-CHECK_MIN_S = 3.0
-CHECK_MAX_S = 4.0
+CHECK_INTERVAL_MIN_S = 3.0
+CHECK_INTERVAL_MAX_S = 4.0
 """Between these, drawn at random, lies the time from the end of one check to the next."""
-FIRST_CHECK_S = 0.5
+FIRST_CHECK_DELAY_MAX_S = 0.5
 """A watch just confirmed is checked within this time."""
-CHECK_RETRY_S = 0.5
+CHECK_RETRY_BASE_S = 0.5
 """As `RETRY_BASE_S`, for a check."""
 LAG_GRACE_S = 2.0
 """Seconds that the watch is given to bring a change that a check has seen."""
-LEAST_FRAME_SHARE = 0.5
+MIN_FRAME_RATE_SHARE = 0.5
 """A long frame has to come at this share of the budget's rate; the rest is for what comes beside it."""
-OVERSIZED_PAUSE_S = 15.0
+OVERSIZED_RETRY_S = 15.0
 """Seconds until what was too large to be held, by more than one member's word, is looked at again."""
-MAX_ANSWER_BYTES = 512 * 1024
+MAX_RESPONSE_BYTES = 512 * 1024
 """Most bytes of the answer to a range request."""
 MAX_FRAME_BYTES = 256 * 1024
 """Most bytes of a watch's frame: a longer one is a history that a snapshot is shorter than."""
@@ -110,7 +110,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Held:
+class ResumeState:
     """The document last in force, from an earlier life of the node."""
 
     cluster_id: int
@@ -118,7 +118,7 @@
     items: Mapping[str, Any]
 
 
-class State(Enum):
+class FollowerState(Enum):
     """What the main call does."""
 
     WAITING = auto()
@@ -166,7 +166,7 @@
     """An answer that contradicts what is known; the text is the name of the line for the log."""
 
 
-class Follower:
+class SettingsFollower:
     """The state machine of one node."""
 
     def __init__(
@@ -175,13 +175,13 @@
         prefix: bytes,
         budget: ByteBudget,
         seed: int,
-        held: Held | None,
+        held: ResumeState | None,
         now: float,
     ) -> None:
         self._random = Random(seed)
         self._members = Members(members, self._random)
         self._prefix = prefix
-        self._range_end = range_end_of(prefix)
+        self._range_end = prefix_range_end(prefix)
         self._budget = budget
         self._held = held  # until it is proposed
         self._held_unsettled = held is not None  # until it is accepted or refused
@@ -197,7 +197,7 @@
         self._snapshot: SnapshotPages | None = None
         self._snapshot_unproven = False  # nothing has come since the last one
 
-        self._state = State.WAITING
+        self._state = FollowerState.WAITING
         self._main: Call | None = None
         self._calls = 0
         self._retry_at = now
@@ -206,7 +206,7 @@
         self._check = Check()
         self._lag: Lag | None = None
         self._frame_bytes = 0  # of the watch's frame under way
-        self._staleness = Staleness(now)
+        self._staleness = StalenessMonitor(now)
         self._refusal = (0, "")  # the last one's revision and reason, until a document is accepted
         self._said: set[tuple[str, str]] = set()  # members and what was logged of each, until it works again
 
@@ -222,7 +222,7 @@
         return self._actions
 
     @property
-    def state(self) -> State:
+    def state(self) -> FollowerState:
         """What the main call does."""
         return self._state
 
@@ -233,17 +233,17 @@
 
     def _on(self, event: Event) -> None:
         match event:
-            case RangeAnswered(number, answer):
+            case RangeResponseReceived(number, answer):
                 if (call := self._check.call) is not None and call.number == number:
                     self._on_check_answer(call, answer)
                 elif (call := self._main) is not None and call.number == number:
                     self._on_page(call, answer)
-            case WatchAnswered(number, answer):
+            case WatchResponseReceived(number, answer):
                 if (call := self._main) is not None and call.number == number:
                     self._on_watch_answer(call, answer)
-            case FrameProgress(number, pending_bytes):
+            case FrameProgress(number, received_bytes):
                 if (call := self._main) is not None and call.number == number:
-                    self._frame_bytes = pending_bytes
+                    self._frame_bytes = received_bytes
             case CallFailed(number, kind, reason):
                 if (call := self._check.call) is not None and call.number == number:
                     self._check_failed(call, kind.name.lower(), reason)
@@ -261,7 +261,7 @@
 
     def _on_time(self) -> None:
         """Do what has come due."""
-        self._actions += self._staleness.look(self._now, self._revision)
+        self._actions += self._staleness.check(self._now, self._revision)
         if self._lag is not None and self._now >= self._lag_ends_at(self._lag):
             self._on_lag(self._lag)
         if self._now >= self._main_due_at():
@@ -275,7 +275,7 @@
             times.append(self._check.due_at)
         if self._lag is not None:
             times.append(self._lag_ends_at(self._lag))
-        if (stale_at := self._staleness.due_at) is not None:
+        if (stale_at := self._staleness.stale_at) is not None:
             times.append(stale_at)
         return min(times)
 
@@ -287,7 +287,7 @@
 
     def _lag_ends_at(self, lag: Lag) -> float:
         """A long frame is given the time that the node's own budget makes it take."""
-        return lag.since + LAG_GRACE_S + self._frame_bytes / (self._budget.rate * LEAST_FRAME_SHARE)
+        return lag.since + LAG_GRACE_S + self._frame_bytes / (self._budget.rate * MIN_FRAME_RATE_SHARE)
 
     def _within(self, base: float, failures: int) -> float:
         """A time from now, drawn at random from a range that doubles with each failure."""
@@ -303,16 +303,16 @@
         """Ask for a page or open the watch."""
         call = self._main = self._new_call(self._members.pick(self._now))
         if self._items is not None:
-            self._state = State.OPENING
+            self._state = FollowerState.OPENING
             request = WatchRequest(self._prefix, self._range_end, self._watch_start())
             self._actions.append(OpenWatch(call.number, call.member, request))
             return
-        self._state = State.FETCHING
+        self._state = FollowerState.FETCHING
         if self._snapshot is None:
             self._snapshot = SnapshotPages(self._prefix)
         if not self._snapshot.revision:
-            self._snapshot.asked_at = self._now
-        self._actions.append(AskRange(call.number, call.member, self._snapshot.request()))
+            self._snapshot.requested_at = self._now
+        self._actions.append(SendRangeRequest(call.number, call.member, self._snapshot.next_request()))
 
     def _watch_start(self) -> int:
         return max(self._revision, self._seen_revision) + 1
@@ -320,14 +320,14 @@
     def _end_main(self) -> None:
         """Give up the main call, if one is under way, and with it the check."""
         if self._main is not None:
-            self._actions.append(EndCall(self._main.number))
+            self._actions.append(CancelCall(self._main.number))
             self._main = None
         if self._check.call is not None:
-            self._actions.append(EndCall(self._check.call.number))
+            self._actions.append(CancelCall(self._check.call.number))
         self._check = Check()
         self._lag = None
         self._frame_bytes = 0
-        self._state = State.WAITING
+        self._state = FollowerState.WAITING
 
     def _retry(self, pause: float = 0.0) -> None:
         """Begin the next main call after this pause."""
@@ -340,10 +340,12 @@
         self._retry_at = self._within(RETRY_BASE_S, self._failures)
         self._failures += 1
 
-    def _main_failed(self, member: str, what: str, reason: str, suspect_for: float = FAILED_FOR_S) -> None:
+    def _main_failed(
+        self, member: str, what: str, reason: str, suspect_for: float = FAILURE_SUSPICION_S
+    ) -> None:
         """The member is of no use for now: try another."""
         self._say_of_member(member, what, reason)
-        self._members.failed(member, self._now, suspect_for)
+        self._members.record_failure(member, self._now, suspect_for)
         self._back_off()
 
     def _on_main_failure(self, call: Call, kind: FailureKind, reason: str) -> None:
@@ -360,23 +362,23 @@
 
     # ---- the snapshot ----
 
-    def _on_page(self, call: Call, answer: RangeAnswer) -> None:
+    def _on_page(self, call: Call, answer: RangeResponse) -> None:
         self._main = None
         snapshot = self._snapshot
         if snapshot is None:
             return
         try:
             self._check_header(answer.header, max(call.revision, self._least_revision, snapshot.revision))
-            complete = snapshot.take(answer)
+            complete = snapshot.add_page(answer)
         except ContradictionError as error:
-            self._main_failed(call.member, str(error), self._seen(answer.header), LIED_FOR_S)
+            self._main_failed(call.member, str(error), self._seen(answer.header), CONTRADICTION_SUSPICION_S)
         except GatewayError as error:
             self._snapshot = None
-            self._main_failed(call.member, "malformed", str(error), LIED_FOR_S)
-        except TooLarge as error:
+            self._main_failed(call.member, "malformed", str(error), CONTRADICTION_SUSPICION_S)
+        except DocumentTooLargeError as error:
             self._on_oversized(call, snapshot.revision, str(error))
         else:
-            self._members.works(call.member)
+            self._members.record_success(call.member)
             if complete:
                 self._on_snapshot(snapshot)
 
@@ -388,7 +390,7 @@
         self._items = snapshot.items
         self._revision = self._seen_revision = snapshot.revision
         self._least_revision = 0
-        self._actions += self._staleness.confirm(self._now, snapshot.asked_at, self._revision)
+        self._actions += self._staleness.confirm(self._now, snapshot.requested_at, self._revision)
         self._propose(snapshot.revision)
         self._retry()
 
@@ -402,8 +404,8 @@
         """Begin a snapshot at the same member; where the last one led to nothing, later and at another."""
         self._items = None
         self._snapshot = None
-        if self._snapshot_unproven or self._state is State.FETCHING:
-            self._members.failed(call.member, self._now)
+        if self._snapshot_unproven or self._state is FollowerState.FETCHING:
+            self._members.record_failure(call.member, self._now)
             self._back_off()
         else:
             self._retry()
@@ -412,9 +414,9 @@
         """More lies below the prefix than is held: look again at another member, and again later."""
         self._items = None
         self._snapshot = None
-        self._members.failed(call.member, self._now)
+        self._members.record_failure(call.member, self._now)
         if reason == self._refusal[1]:
-            self._retry(OVERSIZED_PAUSE_S)
+            self._retry(OVERSIZED_RETRY_S)
         else:
             self._on_refused(revision, reason)
             self._back_off()
@@ -428,34 +430,34 @@
 
     # ---- the watch ----
 
-    def _on_watch_answer(self, call: Call, answer: WatchAnswer) -> None:
+    def _on_watch_answer(self, call: Call, answer: WatchResponse) -> None:
         try:
             self._check_header(answer.header, 0)
             if answer.canceled:
                 self._on_canceled(call, answer)
                 return
-            if self._state is State.OPENING:
+            if self._state is FollowerState.OPENING:
                 self._on_opened(call)
             if answer.events:
                 self._on_changes(call, answer)
         except ContradictionError as error:
-            self._main_failed(call.member, str(error), self._seen(answer.header), LIED_FOR_S)
+            self._main_failed(call.member, str(error), self._seen(answer.header), CONTRADICTION_SUSPICION_S)
         except GatewayError as error:
-            self._main_failed(call.member, "malformed", str(error), LIED_FOR_S)
+            self._main_failed(call.member, "malformed", str(error), CONTRADICTION_SUSPICION_S)
 
     def _on_opened(self, call: Call) -> None:
-        self._state = State.WATCHING
-        self._members.works(call.member)
+        self._state = FollowerState.WATCHING
+        self._members.record_success(call.member)
         self._members.prefer(call.member)
-        self._check = Check(due_at=self._now + self._random.uniform(0.0, FIRST_CHECK_S))
+        self._check = Check(due_at=self._now + self._random.uniform(0.0, FIRST_CHECK_DELAY_MAX_S))
 
-    def _on_canceled(self, call: Call, answer: WatchAnswer) -> None:
+    def _on_canceled(self, call: Call, answer: WatchResponse) -> None:
         if answer.compact_revision > self._watch_start():
             self._on_compacted(call, answer.compact_revision)
         else:
             self._main_failed(call.member, "canceled", answer.cancel_reason)
 
-    def _on_changes(self, call: Call, answer: WatchAnswer) -> None:
+    def _on_changes(self, call: Call, answer: WatchResponse) -> None:
         """Take in the changes revision by revision, each as a whole."""
         revisions = [
             (revision, list(events))
@@ -481,7 +483,7 @@
         else:
             self._lag.since = self._now
 
-    def _check_changes(self, answer: WatchAnswer, revisions: list[int]) -> None:
+    def _check_changes(self, answer: WatchResponse, revisions: list[int]) -> None:
         """Raises an error for changes that the stream cannot hold."""
         last = self._revision
         for revision in revisions:
@@ -501,8 +503,8 @@
         self._revision = revision
         self._seen_revision = max(self._seen_revision, revision)
         try:
-            items.change(events)
-        except TooLarge as error:
+            items.apply(events)
+        except DocumentTooLargeError as error:
             self._on_oversized(call, revision, str(error))
             return False
         if propose:
@@ -512,7 +514,7 @@
     # ---- the check ----
 
     def _ask_check(self) -> None:
-        if self._main is None or self._state is not State.WATCHING:
+        if self._main is None or self._state is not FollowerState.WATCHING:
             return
         check = self._check
         if check.failures:
@@ -524,23 +526,23 @@
         check.other_next = member == self._main.member
         check.call = self._new_call(member)
         request = RangeRequest(self._prefix, self._range_end, limit=1, newest_first=True, keys_only=True)
-        self._actions.append(AskRange(check.call.number, member, request))
+        self._actions.append(SendRangeRequest(check.call.number, member, request))
 
-    def _on_check_answer(self, call: Call, answer: RangeAnswer) -> None:
+    def _on_check_answer(self, call: Call, answer: RangeResponse) -> None:
         try:
             self._check_header(answer.header, call.revision)
             if answer.items and answer.items[0].mod_revision > answer.header.revision:
                 raise GatewayError(ErrorKind.MALFORMED, "a change of a later revision than the answer's")
         except ContradictionError as error:
-            self._check_failed(call, str(error), self._seen(answer.header), LIED_FOR_S)
+            self._check_failed(call, str(error), self._seen(answer.header), CONTRADICTION_SUSPICION_S)
             return
         except GatewayError as error:
-            self._check_failed(call, "malformed", str(error), LIED_FOR_S)
+            self._check_failed(call, "malformed", str(error), CONTRADICTION_SUSPICION_S)
             return
         self._check.call = None
         self._check.failures = 0
-        self._check.due_at = self._now + self._random.uniform(CHECK_MIN_S, CHECK_MAX_S)
-        self._members.works(call.member)
+        self._check.due_at = self._now + self._random.uniform(CHECK_INTERVAL_MIN_S, CHECK_INTERVAL_MAX_S)
+        self._members.record_success(call.member)
         self._forget_said(call.member)
         lag = self._lag_shown_by(call, answer)
         if lag is None:
@@ -549,7 +551,7 @@
             self._lag = lag
         self._settle_doubt(call)
 
-    def _lag_shown_by(self, call: Call, answer: RangeAnswer) -> Lag | None:
+    def _lag_shown_by(self, call: Call, answer: RangeResponse) -> Lag | None:
         """Whether the answer shows a change that the watch has not brought."""
         newest = answer.items[0].mod_revision if answer.items else 0
         if newest > self._revision:
@@ -559,7 +561,7 @@
             return Lag(self._now, call.member, 0)
         return None
 
-    def _on_confirmed(self, call: Call, answer: RangeAnswer) -> None:
+    def _on_confirmed(self, call: Call, answer: RangeResponse) -> None:
         """What is held was the newest when the check was made."""
         self._lag = None
         self._failures = 0
@@ -576,16 +578,18 @@
             self._log(LogLevel.INFO, "settings_watch_moved", member=self._main.member, to=call.member)
             self._move_watch(call.member)
 
-    def _check_failed(self, call: Call, what: str, reason: str, suspect_for: float = FAILED_FOR_S) -> None:
+    def _check_failed(
+        self, call: Call, what: str, reason: str, suspect_for: float = FAILURE_SUSPICION_S
+    ) -> None:
         """The member is of no use for now. The watch stays until another member has given a good answer."""
         check = self._check
         check.call = None
-        check.due_at = self._within(CHECK_RETRY_S, check.failures)
+        check.due_at = self._within(CHECK_RETRY_BASE_S, check.failures)
         check.failures += 1
         if self._main is not None and call.member == self._main.member:
             check.watch_doubted = True
         self._say_of_member(call.member, what, reason)
-        self._members.failed(call.member, self._now, suspect_for)
+        self._members.record_failure(call.member, self._now, suspect_for)
 
     def _on_lag(self, lag: Lag) -> None:
         """The watch has not brought in time what a check has seen: open it anew from what is held."""
@@ -595,10 +599,10 @@
         self._log(LogLevel.WARNING, "settings_watch_behind", member=member, seen_at=lag.claimant)
         self._seen_revision = self._revision
         if lag.claimant == member:
-            self._members.failed(member, self._now, LIED_FOR_S)
+            self._members.record_failure(member, self._now, CONTRADICTION_SUSPICION_S)
             self._retry()
         else:
-            self._members.failed(member, self._now)
+            self._members.record_failure(member, self._now)
             self._move_watch(lag.claimant)
 
     def _move_watch(self, member: str) -> None:
@@ -613,8 +617,8 @@
         if held is None:
             return
         try:
-            self._items = StreamItems.of_saved(self._prefix, held.items)
-        except TooLarge:
+            self._items = StreamItems.from_values(self._prefix, held.items)
+        except DocumentTooLargeError:
             self._drop_held()
             return
         self._actions.append(ProposeDocument(held.revision, held.cluster_id, held.items))
@@ -682,4 +686,4 @@
         self._actions.append(Log(level, event, fields))
 
     def _count(self, name: str, amount: int = 1) -> None:
-        self._actions.append(Count(name, amount))
+        self._actions.append(IncrementCounter(name, amount))
--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -64,7 +64,7 @@
     return _with_retired(document, retired or {})
 
 
-def lane(kind: MessageClass) -> dict[str, Any]:
+def class_item(kind: MessageClass) -> dict[str, Any]:
     """A class as the settings list writes it."""
     effects = {effect: name for name, effect in EFFECTS.items()}
     scopes = {scope: name for name, scope in DEDUP_SCOPES.items()}
@@ -257,7 +257,7 @@
     added = []
     for name, value in retired.items():
         if name in present:
-            check_same_terms(present[name], message_class(Reader(value)))
+            check_class_compatible(present[name], message_class(Reader(value)))
         else:
             added.append(value)
     return {**document, "lanes": [*document["lanes"], *added]}
@@ -269,7 +269,7 @@
     batches, apart = extra.per_name("batchByKind", names, 1), extra.per_name("separateRoutes", names, False)
     present = dict(zip(names, map(DestinationKind, names, batches, apart), strict=True))
     for name in retired.keys() & present.keys():
-        check_same_routes(present[name], retired[name])
+        check_kind_compatible(present[name], retired[name])
     added = [kind for name, kind in retired.items() if name not in present]
     return _with_kinds(document, [*present.values(), *added])
 
@@ -277,7 +277,7 @@
 # ---- what a name stands for ----
 
 
-def check_same_terms(new: MessageClass, old: MessageClass) -> None:
+def check_class_compatible(new: MessageClass, old: MessageClass) -> None:
     """Refuse another effect, handling of repeats or order under the name of a class that there was.
 
     A message that is owed under the old terms may have run: tried under the new ones it could run twice.
@@ -294,7 +294,7 @@
             )
 
 
-def check_same_routes(new: DestinationKind, old: DestinationKind) -> None:
+def check_kind_compatible(new: DestinationKind, old: DestinationKind) -> None:
     """Refuse a change of whether routes are apart: the breakers' state is kept by it."""
     if new.separate_routes != old.separate_routes:
         raise SettingsError(
--- a/irisstack/dynamic_settings/etcd.py
+++ b/irisstack/dynamic_settings/etcd.py
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RangeAnswer:
+class RangeResponse:
     """The keys of one page; `count` is the number of keys in the whole range."""
 
     header: ResponseHeader
@@ -130,7 +130,7 @@
     range_end: bytes
     unchanged_since: int
     """The revision behind which no key of the range may have changed."""
-    untouched: Mapping[bytes, int]
+    expected_revisions: Mapping[bytes, int]
     """Keys that must still have the revision of their last change: a deletion shows in no other way."""
     puts: Mapping[bytes, bytes]
     deletes: Sequence[bytes]
@@ -138,7 +138,7 @@
     def body(self) -> bytes:
         none_later = _compare(self.key, "LESS", self.unchanged_since + 1)
         none_later["range_end"] = _text(self.range_end)
-        compares = [_compare(key, "EQUAL", revision) for key, revision in self.untouched.items()]
+        compares = [_compare(key, "EQUAL", revision) for key, revision in self.expected_revisions.items()]
         puts = [
             {"request_put": {"key": _text(key), "value": _text(value)}} for key, value in self.puts.items()
         ]
@@ -147,7 +147,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TxnAnswer:
+class TxnResponse:
     """Whether a transaction's conditions held; if so, its revision is the header's."""
 
     header: ResponseHeader
@@ -172,7 +172,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WatchAnswer:
+class WatchResponse:
     """One frame of a watch. A member never splits a revision over two frames unless asked to."""
 
     header: ResponseHeader
@@ -184,7 +184,7 @@
     cancel_reason: str = ""
 
 
-def range_end_of(prefix: bytes) -> bytes:
+def prefix_range_end(prefix: bytes) -> bytes:
     """The first key behind all that begin with the prefix; a zero byte stands for the end of all keys."""
     for at in range(len(prefix) - 1, -1, -1):
         if prefix[at] < 0xFF:
@@ -197,12 +197,12 @@
     return key + b"\0"
 
 
-def read_range_answer(status: int, body: bytes) -> RangeAnswer:
+def parse_range_response(status: int, body: bytes) -> RangeResponse:
     """The answer to a `RangeRequest`; raises `GatewayError`."""
     raw = _document(body)
     if status != HTTPStatus.OK or "error" in raw:
         raise _refusal(raw, status)
-    return RangeAnswer(
+    return RangeResponse(
         header=_header(raw),
         items=tuple(_key_value(item, f"kvs[{i}]") for i, item in enumerate(_list(raw, "kvs"))),
         more=_flag(raw, "more"),
@@ -210,15 +210,15 @@
     )
 
 
-def read_txn_answer(status: int, body: bytes) -> TxnAnswer:
+def parse_txn_response(status: int, body: bytes) -> TxnResponse:
     """The answer to a `TxnRequest`; raises `GatewayError`."""
     raw = _document(body)
     if status != HTTPStatus.OK or "error" in raw:
         raise _refusal(raw, status)
-    return TxnAnswer(_header(raw), _flag(raw, "succeeded"))
+    return TxnResponse(_header(raw), _flag(raw, "succeeded"))
 
 
-def read_watch_refusal(status: int, body: bytes) -> GatewayError:
+def parse_watch_error(status: int, body: bytes) -> GatewayError:
     """Why a watch was not opened, of an answer whose status is not 200."""
     try:
         return _refusal(_document(body), status)
@@ -226,14 +226,14 @@
         return GatewayError(ErrorKind.REFUSED, f"status {status}")
 
 
-def read_watch_answer(frame: bytes) -> WatchAnswer:
+def parse_watch_response(frame: bytes) -> WatchResponse:
     """One frame of a watch; raises `GatewayError`."""
     raw = _document(frame)
     if "error" in raw:
         raise _refusal(raw, HTTPStatus.OK)
     result = _object(raw, "result")
     canceled = _flag(result, "canceled")
-    return WatchAnswer(
+    return WatchResponse(
         # Where a compaction cancels the watch, etcd leaves the revision out.
         header=_header(result, least_revision=0 if canceled else 1),
         events=tuple(_watch_event(event, f"events[{i}]") for i, event in enumerate(_list(result, "events"))),
--- a/irisstack/dynamic_settings/events.py
+++ b/irisstack/dynamic_settings/events.py
@@ -5,7 +5,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from irisstack.dynamic_settings.etcd import RangeAnswer, RangeRequest, WatchAnswer, WatchRequest
+from irisstack.dynamic_settings.etcd import RangeRequest, RangeResponse, WatchRequest, WatchResponse
 
 
 class FailureKind(Enum):
@@ -31,34 +31,34 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RangeAnswered:
-    """The answer to an `AskRange`; that call is over."""
+class RangeResponseReceived:
+    """The answer to an `SendRangeRequest`; that call is over."""
 
-    call: int
-    answer: RangeAnswer
+    call_id: int
+    answer: RangeResponse
 
 
 @dataclass(slots=True, frozen=True)
-class WatchAnswered:
+class WatchResponseReceived:
     """One frame of the watch; the call goes on."""
 
-    call: int
-    answer: WatchAnswer
+    call_id: int
+    answer: WatchResponse
 
 
 @dataclass(slots=True, frozen=True)
 class FrameProgress:
     """How many bytes of the watch's frame under way have come; 0 between two frames."""
 
-    call: int
-    pending_bytes: int
+    call_id: int
+    received_bytes: int
 
 
 @dataclass(slots=True, frozen=True)
 class CallFailed:
     """A call is over without an answer, or the watch has ended."""
 
-    call: int
+    call_id: int
     kind: FailureKind
     reason: str
 
@@ -78,17 +78,24 @@
     reason: str
 
 
-Event = RangeAnswered | WatchAnswered | FrameProgress | CallFailed | DocumentAccepted | DocumentRefused
+Event = (
+    RangeResponseReceived
+    | WatchResponseReceived
+    | FrameProgress
+    | CallFailed
+    | DocumentAccepted
+    | DocumentRefused
+)
 
 
 # ---- actions ----
 
 
 @dataclass(slots=True, frozen=True)
-class AskRange:
-    """Send a range request; ends with `RangeAnswered` or `CallFailed`."""
+class SendRangeRequest:
+    """Send a range request; ends with `RangeResponseReceived` or `CallFailed`."""
 
-    call: int
+    call_id: int
     member: str
     request: RangeRequest
 
@@ -97,16 +104,16 @@
 class OpenWatch:
     """Open a watch; ends with `CallFailed` alone."""
 
-    call: int
+    call_id: int
     member: str
     request: WatchRequest
 
 
 @dataclass(slots=True, frozen=True)
-class EndCall:
+class CancelCall:
     """Close the call's connection; nothing more is heard of it."""
 
-    call: int
+    call_id: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -144,11 +151,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Count:
+class IncrementCounter:
     """Add to a counter of the node."""
 
     name: str
     amount: int = 1
 
 
-Action = AskRange | OpenWatch | EndCall | ProposeDocument | WakeAt | Log | Count
+Action = SendRangeRequest | OpenWatch | CancelCall | ProposeDocument | WakeAt | Log | IncrementCounter
--- a/irisstack/dynamic_settings/items.py
+++ b/irisstack/dynamic_settings/items.py
@@ -15,7 +15,7 @@
 """How much of a path is repeated in a reason."""
 
 
-class TooLarge(Exception):
+class DocumentTooLargeError(Exception):
     """More lies below the prefix than is held."""
 
 
@@ -37,7 +37,7 @@
         self._size = 0
 
     @classmethod
-    def of_saved(cls, prefix: bytes, values: Mapping[str, Any]) -> "StreamItems":
+    def from_values(cls, prefix: bytes, values: Mapping[str, Any]) -> "StreamItems":
         """The items of a document that was in force."""
         items = cls(prefix)
         for path, value in values.items():
@@ -49,12 +49,12 @@
         return len(self._items)
 
     def put(self, item: KeyValue) -> None:
-        """A key has this value from now on; raises `TooLarge`."""
+        """A key has this value from now on; raises `DocumentTooLargeError`."""
         self.delete(item.key)
         size = item_size(len(item.key) - len(self._prefix), len(item.value))
         self._size += size
         if self._size > MAX_HELD_BYTES:
-            raise TooLarge(f"the document: {MAX_DOCUMENT_BYTES} bytes at most are due")
+            raise DocumentTooLargeError(f"the document: {MAX_DOCUMENT_BYTES} bytes at most are due")
         self._items[item.key] = _read(item.value, size)
 
     def delete(self, key: bytes) -> None:
@@ -63,8 +63,8 @@
         if gone is not None:
             self._size -= gone.size
 
-    def change(self, events: Iterable[WatchEvent]) -> None:
-        """Take in all changes of one revision; raises `TooLarge`."""
+    def apply(self, events: Iterable[WatchEvent]) -> None:
+        """Take in all changes of one revision; raises `DocumentTooLargeError`."""
         for event in events:
             if event.type is EventType.PUT:
                 self.put(event.item)
--- a/irisstack/dynamic_settings/members.py
+++ b/irisstack/dynamic_settings/members.py
@@ -3,9 +3,9 @@
 from collections.abc import Sequence
 from random import Random
 
-FAILED_FOR_S = 10.0
+FAILURE_SUSPICION_S = 10.0
 """Seconds for which a member that failed is passed over while another is left."""
-LIED_FOR_S = 60.0
+CONTRADICTION_SUSPICION_S = 60.0
 """The same for one whose answers contradict what is known: an older revision, another cluster."""
 
 
@@ -26,23 +26,23 @@
         """The member to ask: the one preferred, or the first behind it that is not suspect."""
         for offset in range(len(self._order)):
             at = (self._next + offset) % len(self._order)
-            if not self.suspect(self._order[at], now):
+            if not self.is_suspect(self._order[at], now):
                 self._next = at
                 break
         return self._order[self._next]
 
-    def pick_other(self, than: str, random: Random, now: float) -> str:
+    def pick_other(self, excluded: str, random: Random, now: float) -> str:
         """Any member but this one, best one that is not suspect; this one if it is alone."""
-        others = [name for name in self._order if name != than]
-        good = [name for name in others if not self.suspect(name, now)]
-        return random.choice(good or others or [than])
+        others = [name for name in self._order if name != excluded]
+        good = [name for name in others if not self.is_suspect(name, now)]
+        return random.choice(good or others or [excluded])
 
     def pick_any(self, random: Random, now: float) -> str:
         """Any member, best one that is not suspect."""
-        good = [name for name in self._order if not self.suspect(name, now)]
+        good = [name for name in self._order if not self.is_suspect(name, now)]
         return random.choice(good or self._order)
 
-    def suspect(self, name: str, now: float) -> bool:
+    def is_suspect(self, name: str, now: float) -> bool:
         """Whether the member failed or lied a short while ago."""
         return now < self._suspect_until.get(name, 0.0)
 
@@ -50,11 +50,11 @@
         """Ask this member from now on."""
         self._next = self._order.index(name)
 
-    def works(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """The member gave a good answer."""
         self._suspect_until.pop(name, None)
 
-    def failed(self, name: str, now: float, suspect_for: float = FAILED_FOR_S) -> None:
+    def record_failure(self, name: str, now: float, suspect_for: float = FAILURE_SUSPICION_S) -> None:
         """The member failed or lied; if it was the one preferred, the next in the order is."""
         self._suspect_until[name] = max(now + suspect_for, self._suspect_until.get(name, 0.0))
         if self._order[self._next] == name:
--- a/irisstack/dynamic_settings/merge.py
+++ b/irisstack/dynamic_settings/merge.py
@@ -12,10 +12,10 @@
 from irisstack.dynamic_settings.document import (
     KINDS,
     LANES,
-    check_same_routes,
-    check_same_terms,
+    check_class_compatible,
+    check_kind_compatible,
+    class_item,
     kind_item,
-    lane,
 )
 from irisstack.interface import Settings
 from irisstack.settings import SettingsError
@@ -24,81 +24,91 @@
 """The most classes, kinds, tenants or zones, those that went included, until a restart drops these."""
 
 
-class Change(Enum):
+class ChangePolicy(Enum):
     """How a running node takes a change of a field."""
 
-    FOLLOWS = auto()  # the new value counts from the next turn on
+    LIVE = auto()  # the new value counts from the next turn on
     BY_NAME = auto()  # a list whose members keep their positions
     RESTART = auto()  # refused: the node was built by the value
 
 
 @dataclass(slots=True, frozen=True)
-class Rule:
+class FieldRule:
     """What a change of one field of `Settings` means for a running node."""
 
-    change: Change
+    policy: ChangePolicy
     path: str
     """Of the settings document."""
     reason: str
 
 
-RULES: Mapping[str, Rule] = {
-    "classes": Rule(
-        Change.BY_NAME, "lanes", "messages refer to a class by position and keep their own terms"
+FIELD_RULES: Mapping[str, FieldRule] = {
+    "classes": FieldRule(
+        ChangePolicy.BY_NAME, "lanes", "messages refer to a class by position and keep their own terms"
     ),
-    "kinds": Rule(Change.BY_NAME, "kinds", "endpoints refer to a kind by position"),
-    "tenants": Rule(Change.BY_NAME, "tenants", "messages refer to a tenant by position"),
-    "zones": Rule(Change.BY_NAME, "failureDomains", "endpoints, and messages that ran, refer to a zone"),
-    "zone": Rule(Change.RESTART, "az", "the machine stands where it stands"),
-    "cross_zone_price": Rule(Change.FOLLOWS, "tariffs.crossZone", "read whenever a route is chosen"),
-    "senders": Rule(Change.FOLLOWS, "balancers", "read whenever a part of a shared limit is taken"),
-    "ordinal": Rule(Change.RESTART, "ordinal", "it tells this node from the others"),
-    "max_calls": Rule(
-        Change.FOLLOWS, "extra.maxCalls", "read before each call; mailboxes and idle connections follow"
+    "kinds": FieldRule(ChangePolicy.BY_NAME, "kinds", "endpoints refer to a kind by position"),
+    "tenants": FieldRule(ChangePolicy.BY_NAME, "tenants", "messages refer to a tenant by position"),
+    "zones": FieldRule(
+        ChangePolicy.BY_NAME, "failureDomains", "endpoints, and messages that ran, refer to a zone"
     ),
-    "max_pending": Rule(Change.FOLLOWS, "allowed.mostHeld", "read as a message comes; what is held stays"),
-    "max_attempts": Rule(Change.FOLLOWS, "allowed.attemptsCap", "read as a message is put in line"),
-    "may_cancel": Rule(Change.FOLLOWS, "allowed.cancel", "read when slots run out"),
-    "may_duplicate": Rule(Change.FOLLOWS, "allowed.mayDuplicate", "no state hangs on it"),
-    "may_probe": Rule(Change.FOLLOWS, "allowed.mayProbe", "no state hangs on it"),
-    "may_gossip": Rule(
-        Change.FOLLOWS, "allowed.mayTell", "read with each failure; without `peers` it stays false"
+    "zone": FieldRule(ChangePolicy.RESTART, "az", "the machine stands where it stands"),
+    "cross_zone_price": FieldRule(ChangePolicy.LIVE, "tariffs.crossZone", "read whenever a route is chosen"),
+    "senders": FieldRule(ChangePolicy.LIVE, "balancers", "read whenever a part of a shared limit is taken"),
+    "ordinal": FieldRule(ChangePolicy.RESTART, "ordinal", "it tells this node from the others"),
+    "max_calls": FieldRule(
+        ChangePolicy.LIVE, "extra.maxCalls", "read before each call; mailboxes and idle connections follow"
     ),
-    "advises_retry_after": Rule(Change.FOLLOWS, "allowed.retryAfter", "read with each refusal"),
-    "max_retry_after": Rule(Change.FOLLOWS, "allowed.maxRetryAfter", "read with each refusal"),
-    "connect_timeout": Rule(
-        Change.FOLLOWS, "allowed.dialTimeout", "counts for the next connect; a repeat has its own last moment"
+    "max_pending": FieldRule(
+        ChangePolicy.LIVE, "allowed.mostHeld", "read as a message comes; what is held stays"
     ),
-    "keepalive": Rule(Change.FOLLOWS, "allowed.keepalive", "counts from the next look at idle connections"),
-    "calls_per_connection": Rule(Change.FOLLOWS, "allowed.multiplex", "read whenever a route is chosen"),
-    "discovery_on_request": Rule(
-        Change.RESTART, "discovery", "who holds the watch, node or decisions, is settled at the start"
+    "max_attempts": FieldRule(ChangePolicy.LIVE, "allowed.attemptsCap", "read as a message is put in line"),
+    "may_cancel": FieldRule(ChangePolicy.LIVE, "allowed.cancel", "read when slots run out"),
+    "may_duplicate": FieldRule(ChangePolicy.LIVE, "allowed.mayDuplicate", "no state hangs on it"),
+    "may_probe": FieldRule(ChangePolicy.LIVE, "allowed.mayProbe", "no state hangs on it"),
+    "may_gossip": FieldRule(
+        ChangePolicy.LIVE, "allowed.mayTell", "read with each failure; without `peers` it stays false"
     ),
-    "list_refresh_interval": Rule(
-        Change.FOLLOWS, "invariants.askWithin", "read before the next call for the list"
+    "advises_retry_after": FieldRule(ChangePolicy.LIVE, "allowed.retryAfter", "read with each refusal"),
+    "max_retry_after": FieldRule(ChangePolicy.LIVE, "allowed.maxRetryAfter", "read with each refusal"),
+    "connect_timeout": FieldRule(
+        ChangePolicy.LIVE,
+        "allowed.dialTimeout",
+        "counts for the next connect; a repeat has its own last moment",
     ),
-    "listed_rates": Rule(
-        Change.RESTART, "weights", "a rate is taken, or left, as its line of the list comes"
+    "keepalive": FieldRule(
+        ChangePolicy.LIVE, "allowed.keepalive", "counts from the next look at idle connections"
     ),
-    "rates_are_rough": Rule(Change.RESTART, "weights", "as above: one key sets both"),
-    "report_fields": Rule(
-        Change.FOLLOWS, "report.names", "a report that was read by other names is left out"
+    "calls_per_connection": FieldRule(
+        ChangePolicy.LIVE, "allowed.multiplex", "read whenever a route is chosen"
     ),
-    "decay": Rule(Change.FOLLOWS, "extra.fades", "no state hangs on it"),
-    "over_share_worth": Rule(Change.FOLLOWS, "overShareWorth", "no state hangs on it"),
-    "answer_slack": Rule(Change.FOLLOWS, "invariants.answerSlack", "no state hangs on it"),
-    "drain_grace": Rule(Change.FOLLOWS, "invariants.drainGrace", "no state hangs on it"),
-    "warmup_start_share": Rule(
-        Change.FOLLOWS, "invariants.startCapacity", "read with each call while warming up"
+    "discovery_on_request": FieldRule(
+        ChangePolicy.RESTART, "discovery", "who holds the watch, node or decisions, is settled at the start"
     ),
-    "warmup_seconds": Rule(Change.FOLLOWS, "invariants.cold", "read with each call while warming up"),
-    "overload_multiple": Rule(
-        Change.FOLLOWS, "invariants.tipMultiple", "read with each call while warming up"
+    "list_refresh_interval": FieldRule(
+        ChangePolicy.LIVE, "invariants.askWithin", "read before the next call for the list"
     ),
-    "overload_window": Rule(Change.FOLLOWS, "invariants.fall", "no state hangs on it"),
-    "order_pause": Rule(Change.FOLLOWS, "invariants.orderPause", "read as an attempt ends"),
-    "clock_resolution": Rule(
-        Change.RESTART,
+    "listed_rates": FieldRule(
+        ChangePolicy.RESTART, "weights", "a rate is taken, or left, as its line of the list comes"
+    ),
+    "rates_are_rough": FieldRule(ChangePolicy.RESTART, "weights", "as above: one key sets both"),
+    "report_fields": FieldRule(
+        ChangePolicy.LIVE, "report.names", "a report that was read by other names is left out"
+    ),
+    "decay": FieldRule(ChangePolicy.LIVE, "extra.fades", "no state hangs on it"),
+    "over_share_worth": FieldRule(ChangePolicy.LIVE, "overShareWorth", "no state hangs on it"),
+    "answer_slack": FieldRule(ChangePolicy.LIVE, "invariants.answerSlack", "no state hangs on it"),
+    "drain_grace": FieldRule(ChangePolicy.LIVE, "invariants.drainGrace", "no state hangs on it"),
+    "warmup_start_share": FieldRule(
+        ChangePolicy.LIVE, "invariants.startCapacity", "read with each call while warming up"
+    ),
+    "warmup_seconds": FieldRule(ChangePolicy.LIVE, "invariants.cold", "read with each call while warming up"),
+    "overload_multiple": FieldRule(
+        ChangePolicy.LIVE, "invariants.tipMultiple", "read with each call while warming up"
+    ),
+    "overload_window": FieldRule(ChangePolicy.LIVE, "invariants.fall", "no state hangs on it"),
+    "order_pause": FieldRule(ChangePolicy.LIVE, "invariants.orderPause", "read as an attempt ends"),
+    "clock_resolution": FieldRule(
+        ChangePolicy.RESTART,
         "resolution",
         "timers that are set and the last moments of repeats were reckoned by it",
     ),
@@ -120,7 +130,7 @@
     Both may be merged ones. What went is still there, so that a class that went and comes back with another
     effect is refused as well.
     """
-    check_restart(in_force, proposed)
+    check_no_restart_needed(in_force, proposed)
     _check_names_stand(in_force, proposed)
     merged = replace(
         proposed,
@@ -134,21 +144,23 @@
     return merged
 
 
-def definitions_of_gone(merged: Settings, proposed: Settings) -> dict[str, Any]:
+def retired_definitions(merged: Settings, proposed: Settings) -> dict[str, Any]:
     """Definitions of the classes and kinds that went, by path, as `document.compose` takes them."""
     classes = {kind.name for kind in proposed.classes}
     kinds = {kind.name for kind in proposed.kinds}
     return {
-        **{f"{LANES}/{kind.name}": lane(kind) for kind in merged.classes if kind.name not in classes},
+        **{f"{LANES}/{kind.name}": class_item(kind) for kind in merged.classes if kind.name not in classes},
         **{f"{KINDS}/{kind.name}": kind_item(kind) for kind in merged.kinds if kind.name not in kinds},
     }
 
 
-def check_restart(in_force: Settings, proposed: Settings) -> None:
+def check_no_restart_needed(in_force: Settings, proposed: Settings) -> None:
     """Raise `SettingsError` for a change of what a running node cannot follow."""
     for field in fields(Settings):
-        rule = RULES[field.name]
-        if rule.change is Change.RESTART and _value(in_force, field.name) != _value(proposed, field.name):
+        rule = FIELD_RULES[field.name]
+        if rule.policy is ChangePolicy.RESTART and _value(in_force, field.name) != _value(
+            proposed, field.name
+        ):
             raise SettingsError(f"{rule.path}: needs a restart to change: {rule.reason}")
 
 
@@ -163,11 +175,11 @@
     classes = {kind.name: kind for kind in in_force.classes}
     for new in proposed.classes:
         if (old := classes.get(new.name)) is not None:
-            check_same_terms(new, old)
+            check_class_compatible(new, old)
     kinds = {kind.name: kind for kind in in_force.kinds}
     for kind in proposed.kinds:
         if (known := kinds.get(kind.name)) is not None:
-            check_same_routes(kind, known)
+            check_kind_compatible(kind, known)
 
 
 def _positions(path: str, in_force: tuple[Member, ...], proposed: tuple[Member, ...]) -> tuple[Member, ...]:
--- a/irisstack/dynamic_settings/pages.py
+++ b/irisstack/dynamic_settings/pages.py
@@ -4,14 +4,14 @@
     ErrorKind,
     GatewayError,
     KeyValue,
-    RangeAnswer,
     RangeRequest,
+    RangeResponse,
     key_after,
-    range_end_of,
+    prefix_range_end,
 )
 from irisstack.dynamic_settings.items import StreamItems
 
-PAGE_KEYS = 64
+MAX_PAGE_KEYS = 64
 """Most keys of one page."""
 
 
@@ -25,19 +25,19 @@
         self.revision = 0
         """The revision of every page, 0 before the first one has come."""
         self.cluster_id = 0
-        self.asked_at = 0.0
+        self.requested_at = 0.0
         """When the first page was asked for: the snapshot is as new as that."""
 
-    def request(self) -> RangeRequest:
+    def next_request(self) -> RangeRequest:
         """What to ask for the next page."""
         return RangeRequest(
-            self._next_key, range_end_of(self._prefix), revision=self.revision, limit=PAGE_KEYS
+            self._next_key, prefix_range_end(self._prefix), revision=self.revision, limit=MAX_PAGE_KEYS
         )
 
-    def take(self, answer: RangeAnswer) -> bool:
+    def add_page(self, answer: RangeResponse) -> bool:
         """Add a page; returns whether it was the last one.
 
-        Raises `GatewayError` for a page that the revision cannot have, and `TooLarge`.
+        Raises `GatewayError` for a page that the revision cannot have, and `DocumentTooLargeError`.
         """
         if not self.revision:
             self.revision = answer.header.revision
--- a/irisstack/dynamic_settings/snapshot.py
+++ b/irisstack/dynamic_settings/snapshot.py
@@ -42,11 +42,11 @@
     """What the settings no longer name but messages may still be owed under."""
 
 
-class FileError(Exception):
+class InvalidFileError(Exception):
     """The file holds no settings; the text says why."""
 
 
-class SnapshotFile:
+class SavedSettingsFile:
     """The file in one folder. No trouble with it ever ends the node: it is one line of the log."""
 
     def __init__(self, folder: Path) -> None:
@@ -72,7 +72,7 @@
             return None
         except OSError as error:
             log.warning("settings_file_unread", path=str(self._path), error=str(error.strerror))
-        except FileError as error:
+        except InvalidFileError as error:
             log.warning("settings_file_unread", path=str(self._path), error=str(error))
         return None
 
@@ -83,7 +83,7 @@
             self._write(data)
         except OSError as error:
             log.error("settings_not_saved", revision=settings.revision, error=str(error.strerror))
-        except FileError as error:
+        except InvalidFileError as error:
             log.error("settings_not_saved", revision=settings.revision, error=str(error))
         else:
             return True
@@ -108,28 +108,28 @@
     head = {"version": VERSION, "crc32": zlib.crc32(body)}
     data = _canonical(head)[:-1] + b',"settings":' + body + b"}\n"
     if len(data) > MAX_FILE_BYTES:
-        raise FileError(f"{MAX_FILE_BYTES} bytes at most are due, not {len(data)}")
+        raise InvalidFileError(f"{MAX_FILE_BYTES} bytes at most are due, not {len(data)}")
     return data
 
 
 def _decode(data: bytes) -> SavedSettings:
     if len(data) > MAX_FILE_BYTES:
-        raise FileError(f"{MAX_FILE_BYTES} bytes at most are due")
+        raise InvalidFileError(f"{MAX_FILE_BYTES} bytes at most are due")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
-        raise FileError("no JSON, perhaps torn") from None
+        raise InvalidFileError("no JSON, perhaps torn") from None
     if not isinstance(raw, dict):
-        raise FileError("an object is due")
+        raise InvalidFileError("an object is due")
     if raw.get("version") != VERSION:
-        raise FileError(f"version {VERSION} is due, not {str(raw.get('version'))[:20]!r}")
+        raise InvalidFileError(f"version {VERSION} is due, not {str(raw.get('version'))[:20]!r}")
     settings = raw.get("settings")
     if not isinstance(settings, dict) or raw.get("crc32") != zlib.crc32(_canonical(settings)):
-        raise FileError("the checksum does not fit")
+        raise InvalidFileError("the checksum does not fit")
     try:
         return _settings(**settings)
     except TypeError:
-        raise FileError("cluster_id, revision, items and retired are due") from None
+        raise InvalidFileError("cluster_id, revision, items and retired are due") from None
 
 
 def _settings(
@@ -144,9 +144,9 @@
 
 
 def _canonical(value: object) -> bytes:
-    """The one form of a JSON value that the checksum is taken of; raises `FileError` for what is none."""
+    """The canonical JSON text, which the checksum covers; raises `InvalidFileError` for other values."""
     try:
         text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
     except (TypeError, ValueError, RecursionError) as error:
-        raise FileError(f"no JSON: {error}") from None
+        raise InvalidFileError(f"no JSON: {error}") from None
     return text.encode("utf-8", "surrogatepass")
--- a/irisstack/dynamic_settings/staleness.py
+++ b/irisstack/dynamic_settings/staleness.py
@@ -1,12 +1,12 @@
 """For how long nobody has confirmed that what the node holds is the newest."""
 
-from irisstack.dynamic_settings.events import Action, Count, Log, LogLevel
+from irisstack.dynamic_settings.events import Action, IncrementCounter, Log, LogLevel
 
 STALE_AFTER_S = 18.0
 """Seconds without confirmation after which that is said."""
 
 
-class Staleness:
+class StalenessMonitor:
     """Says once that the settings are stale, and once that they no longer are."""
 
     def __init__(self, now: float) -> None:
@@ -14,7 +14,7 @@
         self._said = False
 
     @property
-    def due_at(self) -> float | None:
+    def stale_at(self) -> float | None:
         """When the settings become stale; `None` if they are."""
         return None if self._said else self._confirmed_at + STALE_AFTER_S
 
@@ -26,10 +26,10 @@
         self._said = False
         return [Log(LogLevel.INFO, "settings_fresh_again", {"revision": revision})]
 
-    def look(self, now: float, revision: int) -> list[Action]:
+    def check(self, now: float, revision: int) -> list[Action]:
         """What is to be said as time passes."""
         if self._said or now < self._confirmed_at + STALE_AFTER_S:
             return []
         self._said = True
         fields = {"revision": revision, "unconfirmed_s": round(now - self._confirmed_at, 1)}
-        return [Log(LogLevel.WARNING, "settings_stale", fields), Count("settings_stale")]
+        return [Log(LogLevel.WARNING, "settings_stale", fields), IncrementCounter("settings_stale")]
--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -13,43 +13,43 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Range:
+class NumberRange:
     """The values that one number of the settings may have."""
 
     path: str
     field: str
-    least: float
-    above: bool = False
+    minimum: float
+    exclusive: bool = False
     """Whether the least value itself is out."""
 
 
 RANGES = (
-    Range("allowed.attemptsCap", "max_attempts", 1),
-    Range("allowed.mostHeld", "max_pending", 1),
-    Range("allowed.maxRetryAfter", "max_retry_after", 0),
-    Range("allowed.dialTimeout", "connect_timeout", 0),
-    Range("allowed.keepalive", "keepalive", 0),
-    Range("allowed.multiplex", "calls_per_connection", 1),
-    Range("balancers", "senders", 1),
-    Range("extra.maxCalls", "max_calls", 1),
-    Range("invariants.answerSlack", "answer_slack", 0),
-    Range("invariants.cold", "warmup_seconds", 0),
-    Range("invariants.drainGrace", "drain_grace", 0),
-    Range("invariants.fall", "overload_window", 0),
-    Range("invariants.orderPause", "order_pause", 0),
-    Range("invariants.startCapacity", "warmup_start_share", 0, above=True),
-    Range("invariants.tipMultiple", "overload_multiple", 0, above=True),
-    Range("overShareWorth", "over_share_worth", 0),
-    Range("resolution", "clock_resolution", 0),
+    NumberRange("allowed.attemptsCap", "max_attempts", 1),
+    NumberRange("allowed.mostHeld", "max_pending", 1),
+    NumberRange("allowed.maxRetryAfter", "max_retry_after", 0),
+    NumberRange("allowed.dialTimeout", "connect_timeout", 0),
+    NumberRange("allowed.keepalive", "keepalive", 0),
+    NumberRange("allowed.multiplex", "calls_per_connection", 1),
+    NumberRange("balancers", "senders", 1),
+    NumberRange("extra.maxCalls", "max_calls", 1),
+    NumberRange("invariants.answerSlack", "answer_slack", 0),
+    NumberRange("invariants.cold", "warmup_seconds", 0),
+    NumberRange("invariants.drainGrace", "drain_grace", 0),
+    NumberRange("invariants.fall", "overload_window", 0),
+    NumberRange("invariants.orderPause", "order_pause", 0),
+    NumberRange("invariants.startCapacity", "warmup_start_share", 0, exclusive=True),
+    NumberRange("invariants.tipMultiple", "overload_multiple", 0, exclusive=True),
+    NumberRange("overShareWorth", "over_share_worth", 0),
+    NumberRange("resolution", "clock_resolution", 0),
 )
 
 
 def check_values(settings: Settings) -> None:
     """Raise `SettingsError` for the first value that is out of its range."""
     for bound in RANGES:
-        _check(bound.path, getattr(settings, bound.field), bound.least, bound.above)
+        _check(bound.path, getattr(settings, bound.field), bound.minimum, bound.exclusive)
     if settings.list_refresh_interval is not None:
-        _check("invariants.askWithin", settings.list_refresh_interval, 0, above=True)
+        _check("invariants.askWithin", settings.list_refresh_interval, 0, exclusive=True)
     if not settings.kinds:
         raise SettingsError("kinds: at least one kind is due")
     _check_names("lanes", (kind.name for kind in settings.classes))
@@ -65,17 +65,18 @@
 
 def _check_class(kind: MessageClass) -> None:
     path = f"lanes/{kind.name}"
-    _check(f"{path}.slo", kind.latency_target, 0, above=True)
+    _check(f"{path}.slo", kind.latency_target, 0, exclusive=True)
     _check(f"{path}.hardLimit", kind.deadline, kind.latency_target)
-    _check(f"{path}.importance", kind.worth, 0, above=True)
+    _check(f"{path}.importance", kind.worth, 0, exclusive=True)
     _check(f"{path}.lateValue", kind.late_worth, 0)
     _check(f"{path}.window", kind.dedup_window, 0)
 
 
-def _check(path: str, value: float, least: float, above: bool = False) -> None:
-    if value < least or (above and value == least):
+def _check(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
+    if value < minimum or (exclusive and value == minimum):
         raise SettingsError(
-            f"{path}: {'above ' if above else ''}{least:g}{'' if above else ' or more'} is due, not {value:g}"
+            f"{path}: {'above ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'} is due,"
+            f" not {value:g}"
         )
 
 
--- a/irisstack/lab/scale/settings_client.py
+++ b/irisstack/lab/scale/settings_client.py
@@ -4,27 +4,27 @@
 from collections.abc import Callable
 from functools import lru_cache
 
-from irisstack.dynamic_settings.budget import PIECE_BYTES, ByteBudget
+from irisstack.dynamic_settings.budget import READ_CHUNK_BYTES, ByteBudget
 from irisstack.dynamic_settings.decisions import ANSWER_TIMEOUT_S, CONNECT_TIMEOUT_S, MAX_FRAME_BYTES
 from irisstack.dynamic_settings.etcd import (
     RANGE_PATH,
     WATCH_PATH,
     ErrorKind,
     GatewayError,
-    RangeAnswer,
-    WatchAnswer,
-    read_range_answer,
-    read_watch_answer,
+    RangeResponse,
+    WatchResponse,
+    parse_range_response,
+    parse_watch_response,
 )
 from irisstack.dynamic_settings.events import (
-    AskRange,
     CallFailed,
     Event,
     FailureKind,
     FrameProgress,
     OpenWatch,
-    RangeAnswered,
-    WatchAnswered,
+    RangeResponseReceived,
+    SendRangeRequest,
+    WatchResponseReceived,
 )
 from irisstack.lab.scale.settings_member import Request, VirtualMember
 from irisstack.lab.scale.settings_network import Place, StreamNetwork
@@ -46,8 +46,8 @@
 class Exchange:
     """One call of a node: a range request with its answer, or a watch."""
 
-    def __init__(self, client: "SettingsClient", action: AskRange | OpenWatch) -> None:
-        self.call = action.call
+    def __init__(self, client: "SettingsClient", action: SendRangeRequest | OpenWatch) -> None:
+        self.call = action.call_id
         self.place = client.place
         self.member = client.members[action.member]
         self.open = True
@@ -130,9 +130,9 @@
         """The member's name, as a request carries it."""
         return next(name for name, each in self.members.items() if each is member)
 
-    def begin(self, now: float, action: AskRange | OpenWatch) -> None:
+    def begin(self, now: float, action: SendRangeRequest | OpenWatch) -> None:
         """Begin a call."""
-        exchange = self._exchanges[action.call] = Exchange(self, action)
+        exchange = self._exchanges[action.call_id] = Exchange(self, action)
         exchange.begin(now)
 
     def end(self, call: int) -> None:
@@ -191,7 +191,7 @@
 
     def _read_piece(self, now: float, exchange: Exchange, size: int) -> bool:
         """Read a piece of the first buffer; returns whether some of it is left."""
-        piece = min(PIECE_BYTES, size - self._read_of_first)
+        piece = min(READ_CHUNK_BYTES, size - self._read_of_first)
         self._read_of_first += piece
         self.spend(now, piece)
         if self._read_of_first == size:
@@ -212,13 +212,13 @@
         try:
             if exchange.is_watch:
                 frame = watch_answer(data)
-                if len(data) > PIECE_BYTES:
+                if len(data) > READ_CHUNK_BYTES:
                     self._post(now, FrameProgress(call, 0))
-                self._post(now, WatchAnswered(call, frame))
+                self._post(now, WatchResponseReceived(call, frame))
             else:
                 answer = range_answer(data)
                 self.end(call)
-                self._post(now, RangeAnswered(call, answer))
+                self._post(now, RangeResponseReceived(call, answer))
         except GatewayError as error:
             self.fail(now, exchange, FAILURES[error.kind], str(error))
 
@@ -230,17 +230,17 @@
 
 
 @lru_cache(KNOWN_ANSWERS)
-def range_answer(data: bytes) -> RangeAnswer:
+def range_answer(data: bytes) -> RangeResponse:
     """The message of a whole answer; raises `GatewayError`."""
     reply = http.ReplyReader().feed(data)
     if reply is None:
         raise GatewayError(ErrorKind.MALFORMED, "the answer is cut")
-    return read_range_answer(reply.status, reply.body)
+    return parse_range_response(reply.status, reply.body)
 
 
 @lru_cache(KNOWN_ANSWERS)
-def watch_answer(data: bytes) -> WatchAnswer:
+def watch_answer(data: bytes) -> WatchResponse:
     """The message of one frame, with the answer's head before the first; raises `GatewayError`."""
     chunk = data.removeprefix(etcd_http.STREAM_HEAD)
     _, _, frame = chunk.partition(b"\r\n")
-    return read_watch_answer(frame)
+    return parse_watch_response(frame)
--- a/irisstack/lab/scale/settings_node.py
+++ b/irisstack/lab/scale/settings_node.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass, field
 
 from irisstack.dynamic_settings.budget import ByteBudget
-from irisstack.dynamic_settings.decisions import Follower, Held
+from irisstack.dynamic_settings.decisions import ResumeState, SettingsFollower
 from irisstack.dynamic_settings.events import (
     Action,
-    AskRange,
-    Count,
+    CancelCall,
     DocumentAccepted,
     DocumentRefused,
-    EndCall,
     Event,
+    IncrementCounter,
     Log,
     OpenWatch,
     ProposeDocument,
+    SendRangeRequest,
     WakeAt,
 )
 from irisstack.lab.scale.settings_client import SettingsClient
@@ -80,7 +80,7 @@
 
 
 class SettingsNode:
-    """Carries out a `Follower`'s actions in virtual time."""
+    """Carries out a `SettingsFollower`'s actions in virtual time."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self.place = place
         self.record = record
         self.running = False
-        self.held: Held | None = None
+        self.held: ResumeState | None = None
         """What the lasting folder keeps."""
         self.in_force = 0
         """The revision of the document that this life of the node last accepted."""
@@ -106,7 +106,7 @@
         self._check = check
         self._lives = 0
         self._wake_number = 0
-        self._follower: Follower | None = None
+        self._follower: SettingsFollower | None = None
         self._client: SettingsClient | None = None
 
     def start(self, now: float) -> None:
@@ -115,7 +115,7 @@
         self.running, self.in_force = True, 0
         budget = ByteBudget(BYTES_PER_S, now)
         seed = self.number * 1009 + self._lives
-        self._follower = Follower(list(self._members), PREFIX, budget, seed, self.held, now)
+        self._follower = SettingsFollower(list(self._members), PREFIX, budget, seed, self.held, now)
         life = self._lives
 
         def post(at: float, event: Event) -> None:
@@ -157,9 +157,9 @@
         client = self._client
         assert client is not None
         match action:
-            case AskRange() | OpenWatch():
+            case SendRangeRequest() | OpenWatch():
                 client.begin(now, action)
-            case EndCall(call):
+            case CancelCall(call):
                 client.end(call)
             case ProposeDocument():
                 return self._propose(now, action)
@@ -167,7 +167,7 @@
                 self._wake_at(at)
             case Log(_, event, _):
                 self._note(now, event)
-            case Count():
+            case IncrementCounter():
                 pass
         return None
 
@@ -177,7 +177,7 @@
             self.record.refused += 1
             return DocumentRefused(document.revision, reason)
         self.in_force = document.revision
-        self.held = Held(document.cluster_id, document.revision, document.items)
+        self.held = ResumeState(document.cluster_id, document.revision, document.items)
         if not self.record.accepted_revisions or document.revision > self.record.accepted_revisions[-1]:
             self.record.accepted_at.append(now)
             self.record.accepted_revisions.append(document.revision)
--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -12,7 +12,7 @@
 
 from irisstack.dynamic_settings.accepted import AcceptedSettings
 from irisstack.dynamic_settings.document import KINDS, LANES, check_size, compose
-from irisstack.dynamic_settings.merge import check_restart, definitions_of_gone, merge
+from irisstack.dynamic_settings.merge import check_no_restart_needed, merge, retired_definitions
 from irisstack.dynamic_settings.values import check_values
 from irisstack.interface import Settings
 from irisstack.node.config import HostPort, disable_gossip_without_peers
@@ -52,7 +52,7 @@
         with _only_settings_errors():
             proposed = self._read(compose(self._base, items))
             merged = merge(self.in_force.settings, proposed)
-            gone = definitions_of_gone(merged, proposed)
+            gone = retired_definitions(merged, proposed)
             check_size(gone, "what went")  # it has to be saved; a restart drops what nothing needs
             return _accepted(merged, proposed, gone)
 
@@ -77,10 +77,10 @@
     ) -> AcceptedSettings:
         with _only_settings_errors():
             proposed = self._read(compose(self._base, items))
-            check_restart(self._own, proposed)
+            check_no_restart_needed(self._own, proposed)
             needed = {path: value for path, value in retired.items() if _is_needed(path, owed)}
             settings = self._read(compose(self._base, items, needed))
-            return _accepted(settings, proposed, definitions_of_gone(settings, proposed))
+            return _accepted(settings, proposed, retired_definitions(settings, proposed))
 
     def _usable(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
         """Those that may stand beside the node's own file."""
--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -9,12 +9,12 @@
 from gevent import socket
 
 from irisstack.dynamic_settings import etcd
-from irisstack.dynamic_settings.budget import PIECE_BYTES, ByteBudget
+from irisstack.dynamic_settings.budget import READ_CHUNK_BYTES, ByteBudget
 from irisstack.dynamic_settings.decisions import (
     ANSWER_TIMEOUT_S,
     CONNECT_TIMEOUT_S,
-    MAX_ANSWER_BYTES,
     MAX_FRAME_BYTES,
+    MAX_RESPONSE_BYTES,
 )
 from irisstack.dynamic_settings.events import FailureKind
 from irisstack.node import http, sockets
@@ -50,7 +50,7 @@
         self._connection = connection
 
     def recv_into(self, buffer: memoryview, /) -> int:
-        with buffer[:PIECE_BYTES] as piece:
+        with buffer[:READ_CHUNK_BYTES] as piece:
             return self._connection.recv_into(piece)
 
 
@@ -72,19 +72,19 @@
         if self._connection is not None:
             self._connection.close()
 
-    def ask_range(self, request: etcd.RangeRequest) -> etcd.RangeAnswer:
+    def ask_range(self, request: etcd.RangeRequest) -> etcd.RangeResponse:
         """The answer to a range request; raises `CallError`."""
         with _named_errors():
             answer = self._ask(etcd.RANGE_PATH, request.body())
-            return etcd.read_range_answer(answer.status, bytes(answer.body))
+            return etcd.parse_range_response(answer.status, bytes(answer.body))
 
-    def ask_txn(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
+    def ask_txn(self, request: etcd.TxnRequest) -> etcd.TxnResponse:
         """The answer to a transaction; raises `CallError`, after which it may have been carried out."""
         with _named_errors():
             answer = self._ask(etcd.TXN_PATH, request.body())
-            return etcd.read_txn_answer(answer.status, bytes(answer.body))
+            return etcd.parse_txn_response(answer.status, bytes(answer.body))
 
-    def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
+    def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchResponse | None, int]]":
         """The watch's frames as they come, each with 0; between them `None` and the bytes of the next so far.
 
         Ends with `CallError` alone.
@@ -94,15 +94,15 @@
 
     def _ask(self, path: str, body: bytes) -> http.Message:
         self._send(path, body)
-        return self._whole(http.ResponseReader(MAX_ANSWER_BYTES + SLACK_BYTES), 0)
+        return self._whole(http.ResponseReader(MAX_RESPONSE_BYTES + SLACK_BYTES), 0)
 
     def _whole(self, reader: http.ResponseReader, received: int) -> http.Message:
         """Read an answer to its end."""
         while (answer := reader.advance(self._buffer)) is None:
             count = self._receive()
             received += count
-            if received > MAX_ANSWER_BYTES:
-                raise CallError(FailureKind.TOO_LARGE, f"the answer: over {MAX_ANSWER_BYTES} bytes")
+            if received > MAX_RESPONSE_BYTES:
+                raise CallError(FailureKind.TOO_LARGE, f"the answer: over {MAX_RESPONSE_BYTES} bytes")
             if not count:
                 answer = reader.finish_at_eof()
                 if answer is None:
@@ -110,7 +110,7 @@
                 break
         return answer
 
-    def _watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
+    def _watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchResponse | None, int]]":
         self._send(etcd.WATCH_PATH, request.body())
         reader = http.ResponseReader(MAX_FRAME_BYTES + SLACK_BYTES)
         frames = JsonObjectStream(MAX_FRAME_BYTES + SLACK_BYTES)
@@ -128,7 +128,7 @@
             for frame in frames.feed(body):
                 pending = 0
                 self._patience_s = None  # a watch is silent most of the time; the check looks after it
-                yield etcd.read_watch_answer(frame), 0
+                yield etcd.parse_watch_response(frame), 0
             if pending > MAX_FRAME_BYTES:
                 raise CallError(FailureKind.TOO_LARGE, f"the frame: over {MAX_FRAME_BYTES} bytes")
             if ended is not None:
@@ -186,7 +186,7 @@
 
 
 def _refusal(answer: http.Message) -> CallError:
-    error = etcd.read_watch_refusal(answer.status, bytes(answer.body))
+    error = etcd.parse_watch_error(answer.status, bytes(answer.body))
     return CallError(FAILURE_KINDS[error.kind], str(error))
 
 
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -305,7 +305,7 @@
 
     def _start_dynamic_settings(self, source: DynamicSettings) -> None:
         """Take the settings of the life before, and get ready to follow those that come."""
-        from irisstack.dynamic_settings.snapshot import SnapshotFile
+        from irisstack.dynamic_settings.snapshot import SavedSettingsFile
         from irisstack.node.live_settings import LiveSettings
         from irisstack.node.settings_watch import SettingsWatch
 
@@ -315,7 +315,7 @@
             self._live = LiveSettings(source.base, config.peers, most_calls)
         except SettingsError as error:
             raise ConfigError(f"settings: {error}") from None
-        file = SnapshotFile(config.state)
+        file = SavedSettingsFile(config.state)
         if (saved := file.load()) is not None:
             owed = {entry.message_class for entry in self._store.entries.values() if entry.owed}
             self._live.restore(saved.items, saved.retired, owed)
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -12,7 +12,7 @@
 from irisstack.dynamic_settings import etcd
 from irisstack.dynamic_settings.budget import ByteBudget
 from irisstack.dynamic_settings.events import FailureKind
-from irisstack.dynamic_settings.items import StreamItems, TooLarge
+from irisstack.dynamic_settings.items import DocumentTooLargeError, StreamItems
 from irisstack.dynamic_settings.pages import SnapshotPages
 from irisstack.node.config import Config, HostPort, format_host_port
 from irisstack.node.live_settings import LiveSettings
@@ -59,8 +59,8 @@
         while not complete:
             answer = self._ask_any(pages)
             try:
-                complete = pages.take(answer)
-            except (etcd.GatewayError, TooLarge) as error:
+                complete = pages.add_page(answer)
+            except (etcd.GatewayError, DocumentTooLargeError) as error:
                 raise PublishError(str(error)) from None
             values.update({item.key: item.value for item in answer.items})
             changed_at.update({item.key: item.mod_revision for item in answer.items})
@@ -88,24 +88,24 @@
         changed = [key for key in before.values if key in puts or key in deletes]
         return etcd.TxnRequest(
             self._prefix,
-            etcd.range_end_of(self._prefix),
+            etcd.prefix_range_end(self._prefix),
             before.revision,
             {key: before.changed_at[key] for key in changed},
             puts,
             deletes,
         )
 
-    def _ask_any(self, pages: SnapshotPages) -> etcd.RangeAnswer:
+    def _ask_any(self, pages: SnapshotPages) -> etcd.RangeResponse:
         """A page from the first member that gives it."""
         failures: list[str] = []
         for member in self._members:
             try:
-                return _call(member, lambda call: call.ask_range(pages.request()))
+                return _call(member, lambda call: call.ask_range(pages.next_request()))
             except CallError as error:
                 failures.append(f"{format_host_port(member)}: {error}")
         raise PublishError("no member answers: " + "; ".join(failures))
 
-    def _write(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
+    def _write(self, request: etcd.TxnRequest) -> etcd.TxnResponse:
         """Write by the first member that is reached; after any other failure it may have been written."""
         for member in self._members:
             try:
@@ -135,7 +135,7 @@
         for path, value in items.items():
             key = source.prefix.encode() + path.encode()
             proposed.put(etcd.KeyValue(key, _text(value), 0))
-    except TooLarge as error:
+    except DocumentTooLargeError as error:
         raise SettingsError(str(error)) from None
     if problem := proposed.problem():
         raise SettingsError(problem)
--- a/irisstack/node/settings_watch.py
+++ b/irisstack/node/settings_watch.py
@@ -11,26 +11,26 @@
 
 from irisstack.dynamic_settings import etcd
 from irisstack.dynamic_settings.budget import ByteBudget
-from irisstack.dynamic_settings.decisions import Follower, Held
+from irisstack.dynamic_settings.decisions import ResumeState, SettingsFollower
 from irisstack.dynamic_settings.events import (
     Action,
-    AskRange,
     CallFailed,
-    Count,
+    CancelCall,
     DocumentAccepted,
     DocumentRefused,
-    EndCall,
     Event,
     FailureKind,
     FrameProgress,
+    IncrementCounter,
     Log,
     OpenWatch,
     ProposeDocument,
-    RangeAnswered,
+    RangeResponseReceived,
+    SendRangeRequest,
     WakeAt,
-    WatchAnswered,
+    WatchResponseReceived,
 )
-from irisstack.dynamic_settings.snapshot import SavedSettings, SnapshotFile
+from irisstack.dynamic_settings.snapshot import SavedSettings, SavedSettingsFile
 from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.counters import Counters
 from irisstack.node.member_call import CallError, MemberCall
@@ -71,7 +71,7 @@
         members: Sequence[HostPort],
         prefix: str,
         bytes_per_s: float,
-        saved: SnapshotFile,
+        saved: SavedSettingsFile,
         check: Callable[[Mapping[str, Any]], AcceptedType],
         apply: Callable[[int, AcceptedType], None],
         counters: Counters,
@@ -85,7 +85,7 @@
         self._counters = counters
         self._seed = seed
         self._budget = ByteBudget(bytes_per_s, time.monotonic())
-        self._held: Held | None = None
+        self._held: ResumeState | None = None
         self._counted_revision = 0
         self._calls: dict[int, gevent.Greenlet[..., None]] = {}
         self._mailbox: Queue[Event] = Queue(MAILBOX_SIZE)
@@ -94,7 +94,7 @@
         """Follow the settings; a fault of this part is logged, and it begins anew."""
         saved = self._saved_file.load()
         if saved is not None:
-            self._held = Held(saved.cluster_id, saved.revision, saved.items)
+            self._held = ResumeState(saved.cluster_id, saved.revision, saved.items)
         while True:
             try:
                 self._follow()
@@ -108,7 +108,9 @@
     def _follow(self) -> None:
         self._mailbox = Queue(MAILBOX_SIZE)
         now = time.monotonic()
-        follower = Follower(list(self._members), self._prefix, self._budget, self._seed, self._held, now)
+        follower = SettingsFollower(
+            list(self._members), self._prefix, self._budget, self._seed, self._held, now
+        )
         events: list[Event] = []
         while True:
             actions = follower.step(time.monotonic(), events)
@@ -137,16 +139,16 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case AskRange(call, member, request):
+            case SendRangeRequest(call, member, request):
                 self._calls[call] = gevent.spawn(self._ask_range, call, self._members[member], request)
             case OpenWatch(call, member, request):
                 self._calls[call] = gevent.spawn(self._watch, call, self._members[member], request)
-            case EndCall(call):
+            case CancelCall(call):
                 if (greenlet := self._calls.pop(call, None)) is not None:
                     greenlet.kill(block=False)
             case Log(level, event, fields):
                 getattr(log, level.value)(event, **fields)
-            case Count(name, amount):
+            case IncrementCounter(name, amount):
                 self._counters.add(name, amount)
 
     # ---- documents ----
@@ -163,7 +165,7 @@
             return DocumentRefused(proposal.revision, str(error))
         except Exception as error:  # whatever it is, a document ends no node
             return DocumentRefused(proposal.revision, f"the document: {error!r}")
-        self._held = Held(proposal.cluster_id, proposal.revision, proposal.items)
+        self._held = ResumeState(proposal.cluster_id, proposal.revision, proposal.items)
         self._counters.add("settings_revision", proposal.revision - self._counted_revision)
         self._counted_revision = proposal.revision
         return DocumentAccepted(proposal.revision)
@@ -178,7 +180,7 @@
     def _ask_range(self, number: int, peer: HostPort, request: etcd.RangeRequest) -> None:
         call = MemberCall(peer, self._budget)
         try:
-            self._mailbox.put(RangeAnswered(number, call.ask_range(request)))
+            self._mailbox.put(RangeResponseReceived(number, call.ask_range(request)))
         except Exception as error:  # whatever it is, the decisions must hear of it, or they wait for ever
             self._mailbox.put(_failure(number, error))
         finally:
@@ -191,7 +193,7 @@
             for answer, pending in call.watch(request):
                 self._mailbox.put(FrameProgress(number, pending))
                 if answer is not None:
-                    self._mailbox.put(WatchAnswered(number, answer))
+                    self._mailbox.put(WatchResponseReceived(number, answer))
         except Exception as error:  # as above
             self._mailbox.put(_failure(number, error))
         finally:
--- a/tests/dynamic_settings/support.py
+++ b/tests/dynamic_settings/support.py
@@ -14,32 +14,32 @@
 from typing import Any
 
 from irisstack.dynamic_settings import etcd
-from irisstack.dynamic_settings.budget import PIECE_BYTES, ByteBudget
+from irisstack.dynamic_settings.budget import READ_CHUNK_BYTES, ByteBudget
 from irisstack.dynamic_settings.decisions import (
     ANSWER_TIMEOUT_S,
     CONNECT_TIMEOUT_S,
-    MAX_ANSWER_BYTES,
     MAX_FRAME_BYTES,
-    Follower,
-    Held,
+    MAX_RESPONSE_BYTES,
+    ResumeState,
+    SettingsFollower,
 )
 from irisstack.dynamic_settings.events import (
     Action,
-    AskRange,
     CallFailed,
-    Count,
+    CancelCall,
     DocumentAccepted,
     DocumentRefused,
-    EndCall,
     Event,
     FailureKind,
     FrameProgress,
+    IncrementCounter,
     Log,
     OpenWatch,
     ProposeDocument,
-    RangeAnswered,
+    RangeResponseReceived,
+    SendRangeRequest,
     WakeAt,
-    WatchAnswered,
+    WatchResponseReceived,
 )
 from irisstack.lab.standins import etcd as standin
 from irisstack.lab.standins import etcd_cluster, etcd_json
@@ -212,8 +212,8 @@
             while (response := watcher.watch.read(member.store)) is not None:
                 watcher.node.frame(watcher.call, member.encode_watch(response))
 
-    def ask_range(self, node: "Node", call: AskRange) -> None:
-        mode = self._connect(node, call.call, call.member)
+    def ask_range(self, node: "Node", call: SendRangeRequest) -> None:
+        mode = self._connect(node, call.call_id, call.member)
         if mode is None:
             return
         status, body = self.members[call.member].answer(etcd.RANGE_PATH, call.request.body())
@@ -221,7 +221,7 @@
             body = self._newer(body)
         if mode is Mode.SAYS_TOO_MUCH and not call.request.newest_first:
             body = self._too_much(body)
-        node.answer(call.call, body, status)
+        node.answer(call.call_id, body, status)
 
     def _newer(self, body: bytes) -> bytes:
         """The answer with a change in it that there never was."""
@@ -238,14 +238,14 @@
         return json.dumps(raw).encode()
 
     def open_watch(self, node: "Node", call: OpenWatch) -> None:
-        if self._connect(node, call.call, call.member) is None:
+        if self._connect(node, call.call_id, call.member) is None:
             return
         member = self.members[call.member]
         wanted = etcd_json.decode_watch(call.request.body())
         assert isinstance(wanted, standin.WatchRequest)
         watch, response = standin.Watch.create(wanted, member.store)
-        node.frame(call.call, member.encode_watch(response))
-        self.watchers[call.member].append(Watcher(node, call.call, watch))
+        node.frame(call.call_id, member.encode_watch(response))
+        self.watchers[call.member].append(Watcher(node, call.call_id, watch))
         self._serve(call.member)
 
     def _connect(self, node: "Node", call: int, member: str) -> Mode | None:
@@ -291,13 +291,13 @@
         self,
         cluster: Cluster,
         seed: int = 0,
-        held: Held | None = None,
+        held: ResumeState | None = None,
         check: Callable[[Mapping[str, Any]], str] = accept_all,
         bytes_per_s: float = BYTES_PER_S,
     ) -> None:
         self.loop, self.cluster, self.check = cluster.loop, cluster, check
         self.budget = ByteBudget(bytes_per_s, self.loop.now)
-        self.follower = Follower(cluster.names, PREFIX, self.budget, seed, held, self.loop.now)
+        self.follower = SettingsFollower(cluster.names, PREFIX, self.budget, seed, held, self.loop.now)
         self.counts: Counter[str] = Counter()
         self.logs: list[Log] = []
         self.in_force: list[tuple[float, int, dict[str, Any]]] = []
@@ -325,7 +325,7 @@
     @property
     def pages(self) -> list[etcd.RangeRequest]:
         """The pages that were asked for."""
-        ranges = [action.request for action in self.asked if isinstance(action, AskRange)]
+        ranges = [action.request for action in self.asked if isinstance(action, SendRangeRequest)]
         return [request for request in ranges if not request.newest_first]
 
     @property
@@ -359,13 +359,13 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case AskRange(call, member, request):
+            case SendRangeRequest(call, member, request):
                 self._ask(action, Incoming(member, False), call, len(request.body()))
                 self.cluster.ask_range(self, action)
             case OpenWatch(call, member, request):
                 self._ask(action, Incoming(member, True), call, len(request.body()))
                 self.cluster.open_watch(self, action)
-            case EndCall(call):
+            case CancelCall(call):
                 self._calls.pop(call, None)
                 self.cluster.forget(self, call)
             case ProposeDocument(revision, _, items):
@@ -377,7 +377,7 @@
                     self.loop.after(at - self.loop.now, lambda: self._wake(wake))
             case Log():
                 self.logs.append(action)
-            case Count(name, amount):
+            case IncrementCounter(name, amount):
                 self.counts[name] += amount
 
     def _ask(self, action: Action, incoming: Incoming, call: int, size: int) -> None:
@@ -429,10 +429,10 @@
             self.loop.after(delay, lambda: self._read(call))
             return
         data = incoming.waiting[0]
-        piece = min(PIECE_BYTES, len(data) - incoming.read)
+        piece = min(READ_CHUNK_BYTES, len(data) - incoming.read)
         self._spend(piece)
         incoming.read += piece
-        if incoming.read > (MAX_FRAME_BYTES if incoming.is_watch else MAX_ANSWER_BYTES):
+        if incoming.read > (MAX_FRAME_BYTES if incoming.is_watch else MAX_RESPONSE_BYTES):
             self._fail(call, FailureKind.TOO_LARGE, "the answer is too long")
         elif incoming.read < len(data):
             self.loop.after(0.0, lambda: self._read(call))
@@ -447,11 +447,13 @@
     def _whole(self, call: int, incoming: Incoming, data: bytes) -> None:
         try:
             if incoming.is_watch:
-                self.step([FrameProgress(call, 0), WatchAnswered(call, etcd.read_watch_answer(data))])
+                self.step(
+                    [FrameProgress(call, 0), WatchResponseReceived(call, etcd.parse_watch_response(data))]
+                )
                 return
-            answer = etcd.read_range_answer(incoming.status, data)
+            answer = etcd.parse_range_response(incoming.status, data)
             del self._calls[call]
-            self.step([RangeAnswered(call, answer)])
+            self.step([RangeResponseReceived(call, answer)])
         except etcd.GatewayError as error:
             kinds = {
                 etcd.ErrorKind.COMPACTED: FailureKind.COMPACTED,
--- a/tests/dynamic_settings/test_budget.py
+++ b/tests/dynamic_settings/test_budget.py
@@ -4,14 +4,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from irisstack.dynamic_settings.budget import BURST_S, PIECE_BYTES, ByteBudget
+from irisstack.dynamic_settings.budget import BURST_S, READ_CHUNK_BYTES, ByteBudget
 
 RATE = 11_000.0
 
 
 @given(
     st.lists(
-        st.tuples(st.floats(0.0, 3.0), st.integers(0, PIECE_BYTES)),
+        st.tuples(st.floats(0.0, 3.0), st.integers(0, READ_CHUNK_BYTES)),
         min_size=1,
         max_size=60,
     )
--- a/tests/dynamic_settings/test_decisions.py
+++ b/tests/dynamic_settings/test_decisions.py
@@ -10,10 +10,10 @@
 import pytest
 
 from irisstack.dynamic_settings import decisions
-from irisstack.dynamic_settings.decisions import Held, State
+from irisstack.dynamic_settings.decisions import FollowerState, ResumeState
 from irisstack.dynamic_settings.events import LogLevel
 from irisstack.dynamic_settings.limits import ITEM_OVERHEAD_BYTES, MAX_DOCUMENT_BYTES
-from irisstack.dynamic_settings.pages import PAGE_KEYS
+from irisstack.dynamic_settings.pages import MAX_PAGE_KEYS
 from tests.dynamic_settings.support import (
     BYTES_PER_S,
     CLUSTER,
@@ -45,7 +45,7 @@
     """A node that watches and has been told that it holds the newest."""
     node = Node(cluster, **options)
     cluster.loop.run_for(10.0)
-    assert node.follower.state is State.WATCHING
+    assert node.follower.state is FollowerState.WATCHING
     return node
 
 
@@ -89,19 +89,19 @@
 
 
 def test_a_long_list_of_keys_comes_in_pages_of_one_revision() -> None:
-    values = {f"lanes/{i:03d}": str(i).encode() for i in range(3 * PAGE_KEYS - 5)}
+    values = {f"lanes/{i:03d}": str(i).encode() for i in range(3 * MAX_PAGE_KEYS - 5)}
     cluster = cluster_with()
     cluster.write(values)
     node = settled(cluster)
     assert len(node.document) == len(values)
     assert [page.revision for page in node.pages] == [0, 2, 2]
-    assert {page.limit for page in node.pages} == {PAGE_KEYS}
+    assert {page.limit for page in node.pages} == {MAX_PAGE_KEYS}
     assert node.snapshots == 1
 
 
 def test_a_change_under_the_snapshot_comes_with_the_watch() -> None:
     cluster = cluster_with()
-    cluster.write({f"lanes/{i:03d}": b"0" for i in range(2 * PAGE_KEYS)})
+    cluster.write({f"lanes/{i:03d}": b"0" for i in range(2 * MAX_PAGE_KEYS)})
     node = Node(cluster)
     cluster.loop.run_for(0.02)
     cluster.write({"lanes/000": b"1", "lanes/127": b"1", "lanes/001": None})
@@ -242,7 +242,7 @@
 def test_a_restart_resumes_from_the_saved_revision() -> None:
     cluster = cluster_with(n=1)
     cluster.put(n=2)
-    node = Node(cluster, held=Held(CLUSTER, 2, {"n": 1}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 2, {"n": 1}))
     cluster.loop.run_for(1.0)
     assert [(revision, items["n"]) for _, revision, items in node.in_force] == [(2, 1), (3, 2)]
     assert node.snapshots == 0
@@ -251,14 +251,14 @@
 def test_a_restart_without_a_cluster_goes_on_with_what_was_saved() -> None:
     cluster = cluster_with()
     cluster.set_all(Mode.NO_ROUTE)
-    node = Node(cluster, held=Held(CLUSTER, 2, {"n": 1}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 2, {"n": 1}))
     cluster.loop.run_for(1.0)
     assert node.document == {"n": 1}
 
 
 def test_a_saved_document_that_is_now_refused_makes_room_for_a_snapshot() -> None:
     cluster = cluster_with(n=4)
-    node = Node(cluster, held=Held(CLUSTER, 2, {"n": 3}), check=refuse_odd)
+    node = Node(cluster, held=ResumeState(CLUSTER, 2, {"n": 3}), check=refuse_odd)
     cluster.loop.run_for(1.0)
     assert node.lines("settings_refused")[0].fields["revision"] == 2
     assert [items for _, _, items in node.in_force] == [{"n": 4}]
@@ -281,7 +281,7 @@
     for n in range(2, 30):
         cluster.put(n=n)
     cluster.compact(20)
-    node = Node(cluster, held=Held(CLUSTER, 5, {"n": 4}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 5, {"n": 4}))
     cluster.loop.run_for(5.0)
     assert node.document == {"n": 29}
     assert node.snapshots == 1
@@ -291,7 +291,7 @@
 
 def test_a_compaction_under_the_snapshot_begins_it_anew() -> None:
     cluster = cluster_with()
-    cluster.write({f"lanes/{i:03d}": b"0" for i in range(2 * PAGE_KEYS)})
+    cluster.write({f"lanes/{i:03d}": b"0" for i in range(2 * MAX_PAGE_KEYS)})
     node = Node(cluster)
 
     def compact() -> None:
@@ -301,7 +301,7 @@
     cluster.loop.run_for(10.0)
     assert node.snapshots == 2
     assert [revision for _, revision, _ in node.in_force] == [3]
-    assert len(node.document) == 2 * PAGE_KEYS + 1
+    assert len(node.document) == 2 * MAX_PAGE_KEYS + 1
 
 
 def test_a_quiet_prefix_is_not_compacted_away() -> None:
@@ -325,7 +325,7 @@
     value = b'"' + b"x" * 20_000 + b'"'
     for _ in range(12):
         cluster.write({"a": value})
-    node = Node(cluster, held=Held(CLUSTER, 2, {"n": 1}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 2, {"n": 1}))
     cluster.loop.run_for(60.0)
     assert node.snapshots == 1
     assert set(node.document) == {"n", "a"}
@@ -337,7 +337,7 @@
 def test_a_cluster_that_went_back_is_refused_and_named() -> None:
     cluster = cluster_with(n=1)
     cluster.compact(2)
-    node = Node(cluster, held=Held(CLUSTER, 500, {"n": 9}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 500, {"n": 9}))
     cluster.loop.run_for(60.0)
     assert node.document == {"n": 9}
     lines = node.lines("settings_older_revision")
@@ -348,7 +348,7 @@
 
 def test_another_cluster_is_refused_and_named() -> None:
     cluster = cluster_with(n=1)
-    node = Node(cluster, held=Held(12, 1, {"n": 9}))
+    node = Node(cluster, held=ResumeState(12, 1, {"n": 9}))
     cluster.loop.run_for(60.0)
     assert node.document == {"n": 9}
     lines = node.lines("settings_other_cluster")
@@ -375,7 +375,7 @@
 def test_an_older_revision_in_the_watch_is_refused() -> None:
     cluster = cluster_with(n=1)
     node = settled(cluster)
-    call = next(action.call for action in node.watches)
+    call = next(action.call_id for action in node.watches)
     node.frame(call, changes_frame([(2, [Change(PREFIX + b"n", b"7")])], 9))
     cluster.loop.run_for(5.0)
     assert node.document == {"n": 1}
@@ -401,7 +401,7 @@
     cluster = cluster_with(n=1)
     node = settled(cluster)
     member = node.watch_member
-    node.frame(node.watches[0].call, frame)
+    node.frame(node.watches[0].call_id, frame)
     cluster.loop.run_for(5.0)
     assert node.document == {"n": 1}
     assert node.watch_member != member
@@ -483,7 +483,7 @@
 def test_a_member_that_says_compacted_again_and_again_is_left() -> None:
     cluster = cluster_with(n=1)
     cluster.etcd.store.compact_revision = 50  # beyond the newest: no honest member says so
-    node = Node(cluster, held=Held(CLUSTER, 2, {"n": 1}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 2, {"n": 1}))
     cluster.loop.run_for(60.0)
     assert node.document == {"n": 1}
     assert len(cluster.connects) < 60
@@ -514,9 +514,9 @@
     cluster = cluster_with(n=1)
     node = settled(cluster)
     cluster.set_all(Mode.NO_LEADER)
-    cluster.loop.run_for(PROMISE_S - decisions.CHECK_MAX_S - 0.1)
+    cluster.loop.run_for(PROMISE_S - decisions.CHECK_INTERVAL_MAX_S - 0.1)
     assert node.counts["settings_stale"] == 0
-    cluster.loop.run_for(decisions.CHECK_MAX_S + 0.1)
+    cluster.loop.run_for(decisions.CHECK_INTERVAL_MAX_S + 0.1)
     assert node.counts["settings_stale"] == 1
     assert node.lines("settings_stale")[0].level is LogLevel.WARNING
 
@@ -604,7 +604,7 @@
     cluster.set_all(Mode.GOOD)
     cluster.loop.run_for(10.0)
     times = [time for time, _ in cluster.connects[before:]]
-    assert all(node.follower.state is State.WATCHING for node in nodes)
+    assert all(node.follower.state is FollowerState.WATCHING for node in nodes)
     assert most_in_any(times, 0.1) <= 40
 
 
@@ -633,7 +633,7 @@
 def test_one_that_missed_the_compaction_has_the_largest_document_in_time_and_budget(keys: int) -> None:
     cluster = cluster_with(old=1)
     cluster.compact(cluster.write({**whole_document(keys), "old": None}))
-    node = Node(cluster, held=Held(CLUSTER, 1, {}))
+    node = Node(cluster, held=ResumeState(CLUSTER, 1, {}))
     begun = cluster.loop.now
     cluster.loop.run_for(40.0)
     assert len(node.document) == keys
--- a/tests/dynamic_settings/test_document.py
+++ b/tests/dynamic_settings/test_document.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from irisstack.dynamic_settings.document import compose, lane
+from irisstack.dynamic_settings.document import class_item, compose
 from irisstack.dynamic_settings.limits import ITEM_OVERHEAD_BYTES, MAX_DOCUMENT_BYTES
 from irisstack.dynamic_settings.values import RANGES, check_values
 from irisstack.interface import DestinationKind, Settings
@@ -130,14 +130,14 @@
 
 def test_a_class_written_out_and_read_is_the_same() -> None:
     for kind in settings_of({"lanes/a": KEYED, "lanes/b": {**LANE, "keepOrder": True}}).classes:
-        again = settings_of({f"lanes/{kind.name}": lane(kind)})
+        again = settings_of({f"lanes/{kind.name}": class_item(kind)})
         assert again.classes == (kind,)
 
 
 # ---- ranges ----
 
 BELOW: dict[str, Any] = {
-    bound.path.replace(".", "/"): (0 if bound.above or bound.least == 1 else -1) for bound in RANGES
+    bound.path.replace(".", "/"): (0 if bound.exclusive or bound.minimum == 1 else -1) for bound in RANGES
 }
 
 
--- a/tests/dynamic_settings/test_etcd.py
+++ b/tests/dynamic_settings/test_etcd.py
@@ -58,11 +58,11 @@
     [(b"/s/", b"/s0"), (b"a\xff", b"b"), (b"\xff\xff", b"\0"), (b"", b"\0")],
 )
 def test_the_end_of_a_prefix(prefix: bytes, end: bytes) -> None:
-    assert etcd.range_end_of(prefix) == end
+    assert etcd.prefix_range_end(prefix) == end
 
 
 def test_a_range_answer_is_read_and_unknown_fields_are_skipped() -> None:
-    answer = etcd.read_range_answer(200, json.dumps(RANGE).encode())
+    answer = etcd.parse_range_response(200, json.dumps(RANGE).encode())
     assert answer.header == etcd.ResponseHeader(14841639068965178418, 10276657743932975437, 57)
     assert answer.items == (etcd.KeyValue(b"a", b"{}", 57), etcd.KeyValue(b"b", b"", 3))
     assert answer.more
@@ -70,13 +70,13 @@
 
 
 def test_fields_left_out_hold_their_defaults() -> None:
-    answer = etcd.read_range_answer(200, b'{"header": {"revision": "1"}}')
+    answer = etcd.parse_range_response(200, b'{"header": {"revision": "1"}}')
     assert (answer.items, answer.more, answer.count) == ((), False, 0)
 
 
 def test_a_watch_frame_is_read() -> None:
     frame = changes_frame([(5, [Change(b"a", b"1"), Change(b"b", None)])], 9)
-    answer = etcd.read_watch_answer(frame)
+    answer = etcd.parse_watch_response(frame)
     assert answer.header.revision == 9
     assert [(e.type, e.item.key, e.item.value, e.item.mod_revision) for e in answer.events] == [
         (EventType.PUT, b"a", b"1", 5),
@@ -87,7 +87,7 @@
 def test_a_canceled_watch_tells_the_compaction() -> None:
     told = {"cluster_id": "1", "member_id": "2", "raft_term": "2"}  # without a revision, as in etcd
     result = {"header": told, "canceled": True, "compact_revision": "7", "cancel_reason": "old\nnews"}
-    answer = etcd.read_watch_answer(json.dumps({"result": result}).encode())
+    answer = etcd.parse_watch_response(json.dumps({"result": result}).encode())
     assert (answer.canceled, answer.compact_revision, answer.cancel_reason) == (True, 7, "old?news")
 
 
@@ -122,18 +122,18 @@
 @pytest.mark.parametrize(("status", "raw", "kind", "reason"), ERRORS.values(), ids=ERRORS)
 def test_a_refusal_is_one_clear_line(status: int, raw: Any, kind: ErrorKind, reason: str) -> None:
     with pytest.raises(GatewayError) as caught:
-        etcd.read_range_answer(status, json.dumps(raw).encode())
+        etcd.parse_range_response(status, json.dumps(raw).encode())
     assert (caught.value.kind, str(caught.value)) == (kind, reason)
 
 
 def test_an_error_within_a_stream() -> None:
     raw = {"error": {"grpc_code": 14, "http_code": 503, "message": "etcdserver: no leader"}}
     with pytest.raises(GatewayError, match=r"^etcdserver: no leader$"):
-        etcd.read_watch_answer(json.dumps(raw).encode())
+        etcd.parse_watch_response(json.dumps(raw).encode())
 
 
 def test_a_watch_refused_by_a_proxy_without_json() -> None:
-    assert str(etcd.read_watch_refusal(502, b"<html>")) == "status 502"
+    assert str(etcd.parse_watch_error(502, b"<html>")) == "status 502"
 
 
 BAD_ANSWERS = {
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("body", BAD_ANSWERS.values(), ids=BAD_ANSWERS)
 def test_a_malformed_answer_is_named_in_one_line(body: bytes) -> None:
     with pytest.raises(GatewayError) as caught:
-        etcd.read_range_answer(200, body)
+        etcd.parse_range_response(200, body)
     assert caught.value.kind is ErrorKind.MALFORMED
     assert str(caught.value).isprintable()
     assert len(str(caught.value)) < 250
@@ -175,7 +175,7 @@
 def test_a_malformed_frame_is_named(events: str) -> None:
     frame = f'{{"result": {{"header": {{"revision": "2"}}, "events": {events}}}}}'
     with pytest.raises(GatewayError) as caught:
-        etcd.read_watch_answer(frame.encode())
+        etcd.parse_watch_response(frame.encode())
     assert caught.value.kind is ErrorKind.MALFORMED
 
 
@@ -222,7 +222,10 @@
 @given(st.data())
 def test_whatever_comes_is_a_message_or_a_gateway_error(data: st.DataObject) -> None:
     frame = json.loads(changes_frame([(5, [Change(PREFIX + b"a", b"1"), Change(PREFIX, None)])], 9))
-    for read, raw in ((etcd.read_watch_answer, frame), (lambda b: etcd.read_range_answer(200, b), RANGE)):
+    for read, raw in (
+        (etcd.parse_watch_response, frame),
+        (lambda b: etcd.parse_range_response(200, b), RANGE),
+    ):
         body = json.dumps(spoilt(raw, data)).encode()
         body = body[: data.draw(st.integers(0, len(body)))] if data.draw(st.booleans()) else body
         assert refusal_of(read, body).isprintable()
@@ -231,8 +234,8 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200), st.integers(0, 999))
 def test_whatever_bytes_come_are_a_message_or_a_gateway_error(body: bytes, status: int) -> None:
-    etcd.read_watch_refusal(status, body)
-    for read in (lambda b: etcd.read_range_answer(status, b), etcd.read_watch_answer):
+    etcd.parse_watch_error(status, body)
+    for read in (lambda b: etcd.parse_range_response(status, b), etcd.parse_watch_response):
         assert refusal_of(read, body).isprintable()
 
 
--- a/tests/dynamic_settings/test_members.py
+++ b/tests/dynamic_settings/test_members.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from random import Random
 
-from irisstack.dynamic_settings.members import FAILED_FOR_S, LIED_FOR_S, Members
+from irisstack.dynamic_settings.members import CONTRADICTION_SUSPICION_S, FAILURE_SUSPICION_S, Members
 
 NAMES = [f"10.0.0.{i}:2379" for i in range(7)]
 
@@ -18,35 +18,35 @@
     asked = []
     for _ in range(14):
         asked.append(members.pick(0.0))
-        members.failed(asked[-1], 0.0)
+        members.record_failure(asked[-1], 0.0)
     assert Counter(asked) == dict.fromkeys(NAMES, 2)
 
 
 def test_one_that_failed_is_passed_over_for_a_while() -> None:
     members = Members(NAMES[:2], Random(1))
     first = members.pick(0.0)
-    members.failed(first, 0.0)
+    members.record_failure(first, 0.0)
     second = members.pick(0.0)
     assert second != first
-    members.failed(second, FAILED_FOR_S - 0.1)
-    assert members.pick(FAILED_FOR_S - 0.1) in NAMES[:2], "both are suspect"
-    assert members.pick(FAILED_FOR_S + 0.1) == first
+    members.record_failure(second, FAILURE_SUSPICION_S - 0.1)
+    assert members.pick(FAILURE_SUSPICION_S - 0.1) in NAMES[:2], "both are suspect"
+    assert members.pick(FAILURE_SUSPICION_S + 0.1) == first
 
 
 def test_a_short_failure_does_not_shorten_a_lie() -> None:
     members = Members(NAMES, Random(1))
     liar = members.pick(0.0)
-    members.failed(liar, 0.0, LIED_FOR_S)
-    members.failed(liar, 1.0)
-    assert members.suspect(liar, LIED_FOR_S - 1.0)
-    assert not members.suspect(liar, LIED_FOR_S)
+    members.record_failure(liar, 0.0, CONTRADICTION_SUSPICION_S)
+    members.record_failure(liar, 1.0)
+    assert members.is_suspect(liar, CONTRADICTION_SUSPICION_S - 1.0)
+    assert not members.is_suspect(liar, CONTRADICTION_SUSPICION_S)
 
 
 def test_a_good_answer_ends_the_suspicion() -> None:
     members = Members(NAMES, Random(1))
-    members.failed(NAMES[0], 0.0)
-    members.works(NAMES[0])
-    assert not members.suspect(NAMES[0], 0.0)
+    members.record_failure(NAMES[0], 0.0)
+    members.record_success(NAMES[0])
+    assert not members.is_suspect(NAMES[0], 0.0)
 
 
 def test_another_member_is_never_the_same_but_where_it_is_alone() -> None:
@@ -59,10 +59,10 @@
 def test_any_member_is_one_that_is_not_suspect_while_there_is_one() -> None:
     random = Random(1)
     members = Members(NAMES[:3], random)
-    members.failed(NAMES[0], 0.0)
-    members.failed(NAMES[1], 0.0)
+    members.record_failure(NAMES[0], 0.0)
+    members.record_failure(NAMES[1], 0.0)
     assert {members.pick_any(random, 0.0) for _ in range(20)} == {NAMES[2]}
-    members.failed(NAMES[2], 0.0)
+    members.record_failure(NAMES[2], 0.0)
     assert {members.pick_any(random, 0.0) for _ in range(60)} == set(NAMES[:3])
 
 
--- a/tests/dynamic_settings/test_merge.py
+++ b/tests/dynamic_settings/test_merge.py
@@ -10,7 +10,7 @@
 from irisstack import interface as api
 from irisstack.dynamic_settings import merge as merging
 from irisstack.dynamic_settings.document import compose
-from irisstack.dynamic_settings.merge import RULES, Change, definitions_of_gone, merge
+from irisstack.dynamic_settings.merge import FIELD_RULES, ChangePolicy, merge, retired_definitions
 from irisstack.settings import Reader, SettingsError, read
 from tests.support import CLASSES, KEYED, ORDERED, SAFE, SETTINGS, UNSAFE
 
@@ -92,8 +92,8 @@
 
 
 def test_every_field_has_a_rule_with_a_reason() -> None:
-    assert RULES.keys() == {field.name for field in fields(api.Settings)}
-    assert all(rule.path and rule.reason for rule in RULES.values())
+    assert FIELD_RULES.keys() == {field.name for field in fields(api.Settings)}
+    assert all(rule.path and rule.reason for rule in FIELD_RULES.values())
 
 
 OTHERS: dict[str, Any] = {
@@ -117,10 +117,10 @@
     return value + 1
 
 
-@pytest.mark.parametrize("field", RULES)
+@pytest.mark.parametrize("field", FIELD_RULES)
 def test_a_change_of_each_field_is_taken_or_refused_as_its_rule_says(field: str) -> None:
-    rule = RULES[field]
-    if rule.change is Change.RESTART:
+    rule = FIELD_RULES[field]
+    if rule.policy is ChangePolicy.RESTART:
         assert refused(**{field: other_value(field)}).startswith(f"{rule.path}: needs a restart")
     else:
         changed = other_value(field)
@@ -130,7 +130,7 @@
 def test_the_operators_page_names_what_needs_a_restart() -> None:
     page = (Path(__file__).resolve().parents[2] / "docs" / "operate" / "dynamic-settings.md").read_text()
     (line,) = [line for line in page.splitlines() if "they need a restart" in line]
-    paths = {rule.path for rule in RULES.values() if rule.change is Change.RESTART}
+    paths = {rule.path for rule in FIELD_RULES.values() if rule.policy is ChangePolicy.RESTART}
     assert set(re.findall(r"`([^`]+)`", line)) == paths
 
 
@@ -151,7 +151,7 @@
 
 def test_definitions_of_what_went_bring_it_back() -> None:
     proposed = replace(IN_FORCE, classes=(SAFE,), kinds=(IN_FORCE.kinds[0],))
-    gone = definitions_of_gone(merge(IN_FORCE, proposed), proposed)
+    gone = retired_definitions(merge(IN_FORCE, proposed), proposed)
     assert gone.keys() == {"lanes/keyed", "lanes/unsafe", "lanes/ordered", "kinds/shared"}
     items = {"lanes/safe": {"repeat": "read_like", "slo": 1.0, "hardLimit": 2.0}, "kinds/plain": {}}
     base = {
--- a/tests/dynamic_settings/test_snapshot.py
+++ b/tests/dynamic_settings/test_snapshot.py
@@ -10,7 +10,7 @@
 
 from irisstack.dynamic_settings import snapshot
 from irisstack.dynamic_settings.limits import MAX_DOCUMENT_BYTES
-from irisstack.dynamic_settings.snapshot import SavedSettings, SnapshotFile
+from irisstack.dynamic_settings.snapshot import SavedSettings, SavedSettingsFile
 from irisstack.node.store import Store
 
 SAVED = SavedSettings(
@@ -23,13 +23,13 @@
 
 def logged_on_load(folder: Path) -> list[str]:
     with capture_logs() as logs:
-        assert SnapshotFile(folder).load() is None
+        assert SavedSettingsFile(folder).load() is None
     return [entry["event"] for entry in logs]
 
 
 def test_what_is_saved_is_loaded(tmp_path: Path) -> None:
-    assert SnapshotFile(tmp_path).save(SAVED)
-    assert SnapshotFile(tmp_path).load() == SAVED
+    assert SavedSettingsFile(tmp_path).save(SAVED)
+    assert SavedSettingsFile(tmp_path).load() == SAVED
 
 
 def test_no_file_is_no_news(tmp_path: Path) -> None:
@@ -37,7 +37,7 @@
 
 
 def test_the_file_is_json_with_version_and_checksum(tmp_path: Path) -> None:
-    SnapshotFile(tmp_path).save(SAVED)
+    SavedSettingsFile(tmp_path).save(SAVED)
     raw = json.loads((tmp_path / "settings.json").read_bytes())
     assert raw["version"] == 1
     assert isinstance(raw["crc32"], int)
@@ -45,7 +45,7 @@
 
 
 def test_a_file_torn_anywhere_is_one_line_and_no_settings(tmp_path: Path) -> None:
-    SnapshotFile(tmp_path).save(SAVED)
+    SavedSettingsFile(tmp_path).save(SAVED)
     path = tmp_path / "settings.json"
     whole = path.read_bytes()
     for size in range(len(whole) - 1):  # without the last byte, a line's end, it is still whole
@@ -54,7 +54,7 @@
 
 
 def test_a_file_with_one_digit_changed_is_one_line_and_no_settings(tmp_path: Path) -> None:
-    SnapshotFile(tmp_path).save(SAVED)
+    SavedSettingsFile(tmp_path).save(SAVED)
     path = tmp_path / "settings.json"
     path.write_bytes(path.read_bytes().replace(b"840", b"841"))
     assert logged_on_load(tmp_path) == ["settings_file_unread"]
@@ -103,7 +103,7 @@
 
 def test_a_trouble_is_said_once_however_often_the_file_is_asked_for(tmp_path: Path) -> None:
     (tmp_path / "settings.json").write_bytes(b"{")
-    file = SnapshotFile(tmp_path)
+    file = SavedSettingsFile(tmp_path)
     with capture_logs() as logs:
         assert file.load() is None
         assert file.load() is None
@@ -111,41 +111,41 @@
 
 
 def test_a_full_disk_leaves_the_old_file(tmp_path: Path) -> None:
-    SnapshotFile(tmp_path).save(SAVED)
+    SavedSettingsFile(tmp_path).save(SAVED)
     os.symlink("/dev/full", tmp_path / "settings.json.new")
     with capture_logs() as logs:
-        assert not SnapshotFile(tmp_path).save(SavedSettings(1, 58, {}, {}))
+        assert not SavedSettingsFile(tmp_path).save(SavedSettings(1, 58, {}, {}))
     assert [(entry["event"], entry["log_level"]) for entry in logs] == [("settings_not_saved", "error")]
-    assert SnapshotFile(tmp_path).load() == SAVED
+    assert SavedSettingsFile(tmp_path).load() == SAVED
     assert not (tmp_path / "settings.json.new").is_symlink()
 
 
 def test_a_folder_that_is_gone_is_one_line(tmp_path: Path) -> None:
     with capture_logs() as logs:
-        assert not SnapshotFile(tmp_path / "gone").save(SAVED)
+        assert not SavedSettingsFile(tmp_path / "gone").save(SAVED)
     assert [entry["event"] for entry in logs] == ["settings_not_saved"]
 
 
 def test_what_an_interrupted_write_left_is_not_read(tmp_path: Path) -> None:
-    SnapshotFile(tmp_path).save(SAVED)
+    SavedSettingsFile(tmp_path).save(SAVED)
     (tmp_path / "settings.json.new").write_bytes(b'{"version": 1, "cr')
-    assert SnapshotFile(tmp_path).load() == SAVED
-    assert SnapshotFile(tmp_path).save(SAVED)
+    assert SavedSettingsFile(tmp_path).load() == SAVED
+    assert SavedSettingsFile(tmp_path).save(SAVED)
 
 
 def test_a_document_of_the_largest_size_fits_and_a_larger_file_is_not_written(tmp_path: Path) -> None:
-    file = SnapshotFile(tmp_path)
+    file = SavedSettingsFile(tmp_path)
     largest = SavedSettings(1, 2, {"a": "x" * MAX_DOCUMENT_BYTES}, {})
     assert file.save(largest)
     assert (tmp_path / "settings.json").stat().st_size < snapshot.MAX_FILE_BYTES
     with capture_logs() as logs:
         assert not file.save(SavedSettings(1, 3, {"a": "x" * snapshot.MAX_FILE_BYTES}, {}))
     assert [entry["event"] for entry in logs] == ["settings_not_saved"]
-    assert SnapshotFile(tmp_path).load() == largest
+    assert SavedSettingsFile(tmp_path).load() == largest
 
 
 def test_the_store_of_messages_leaves_the_file_alone(tmp_path: Path) -> None:
-    SnapshotFile(tmp_path).save(SAVED)
+    SavedSettingsFile(tmp_path).save(SAVED)
     store = Store(tmp_path, 3_000_000, 1000.0)
     store.close()
-    assert SnapshotFile(tmp_path).load() == SAVED
+    assert SavedSettingsFile(tmp_path).load() == SAVED
--- a/tests/lab/scale/test_settings_fleet.py
+++ b/tests/lab/scale/test_settings_fleet.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from irisstack.dynamic_settings.budget import BURST_S, PIECE_BYTES
-from irisstack.dynamic_settings.decisions import CHECK_MAX_S, Follower
+from irisstack.dynamic_settings.budget import BURST_S, READ_CHUNK_BYTES
+from irisstack.dynamic_settings.decisions import CHECK_INTERVAL_MAX_S, SettingsFollower
 from irisstack.dynamic_settings.items import StreamItems
 from irisstack.dynamic_settings.staleness import STALE_AFTER_S
 from irisstack.lab.scale import settings_plays as plays
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("name", list(PLAYS))
 def test_a_node_keeps_to_its_bytes(name: str) -> None:
     """The budget's own bound: what a second brings, a burst and a piece."""
-    most = (WINDOW_S + BURST_S) * BYTES_PER_S + PIECE_BYTES
+    most = (WINDOW_S + BURST_S) * BYTES_PER_S + READ_CHUNK_BYTES
     assert figures(name).node_worst_10_s <= most / WINDOW_S
 
 
@@ -92,7 +92,7 @@
 
 
 def test_without_the_mechanism_no_node_has_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Follower, "step", lambda *_: [])
+    monkeypatch.setattr(SettingsFollower, "step", lambda *_: [])
     play = PLAYS["member-process-dies"]
     _, found = plays.run(play, NODES)
     assert found.changes == figures(play.name).changes
@@ -142,7 +142,7 @@
     assert found.last_stale_s <= plays.TROUBLE_AT + STALE_AFTER_S + 0.1
     assert found.last_fresh_s is not None
     joined_at = plays.TROUBLE_AT + APART_S
-    assert joined_at < found.last_fresh_s <= joined_at + CHECK_MAX_S + 6.0
+    assert joined_at < found.last_fresh_s <= joined_at + CHECK_INTERVAL_MAX_S + 6.0
     assert all(not node.record.stale_at for node in fleet.in_region(0))
 
 
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -20,7 +20,7 @@
 
 from irisstack.dynamic_settings import decisions
 from irisstack.dynamic_settings.members import Members
-from irisstack.dynamic_settings.snapshot import SavedSettings, SnapshotFile
+from irisstack.dynamic_settings.snapshot import SavedSettings, SavedSettingsFile
 from irisstack.lab.standins.etcd_cluster import Reach
 from irisstack.lab.standins.etcd_server import EtcdServer
 from irisstack.node import member_call, settings_watch
@@ -76,7 +76,7 @@
         members,
         PREFIX,
         bytes_per_s,
-        SnapshotFile(folder),
+        SavedSettingsFile(folder),
         check,
         lambda revision, accepted: in_force.append((revision, accepted.items)),
         counters,
@@ -110,8 +110,8 @@
     monkeypatch.setattr(member_call, "ANSWER_TIMEOUT_S", 0.3)
     monkeypatch.setattr(decisions, "RETRY_BASE_S", 0.1)
     monkeypatch.setattr(decisions, "RETRY_CAP_S", 0.2)
-    monkeypatch.setattr(decisions, "CHECK_MIN_S", 0.1)
-    monkeypatch.setattr(decisions, "CHECK_MAX_S", 0.2)
+    monkeypatch.setattr(decisions, "CHECK_INTERVAL_MIN_S", 0.1)
+    monkeypatch.setattr(decisions, "CHECK_INTERVAL_MAX_S", 0.2)
     monkeypatch.setattr(decisions, "LAG_GRACE_S", 0.3)
 
 
@@ -126,7 +126,7 @@
             revision = put(server, a=2, b=3)
             node.wait_for(a=2, b=3)
             until(lambda: node.counters.snapshot()["settings_revision"] == revision)
-    saved = SnapshotFile(tmp_path).load()
+    saved = SavedSettingsFile(tmp_path).load()
     expected = {"a": 2, "b": 3}
     retired = {"lanes/gone": {"name": "gone"}}
     assert saved == SavedSettings(server.cluster.cluster_id, revision, expected, retired)
@@ -375,7 +375,9 @@
         put(server, a=1)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
-            monkeypatch.setattr(decisions.Follower, "step", failing_once(decisions.Follower.step))
+            monkeypatch.setattr(
+                decisions.SettingsFollower, "step", failing_once(decisions.SettingsFollower.step)
+            )
             put(server, a=2)
             node.wait_for(a=2)
             assert node.counters.snapshot()["settings_revision"] == node.in_force[-1][0]
