--- a/irisstack/dynamic_settings/decisions.py
+++ b/irisstack/dynamic_settings/decisions.py
@@ -1,39 +1,38 @@
-"""The follower's decisions: what to ask of which member, what to take, what to refuse. No clock, no I/O.
-
-`SettingsFollower.step(now, events)` is told what happened and gives what to do. It keeps one main call and
-beside it, now and then, a small one, the check:
-
-    WAITING   no main call; the next begins at a time drawn at random
-    FETCHING  a snapshot, page by page, every page at the revision of the first
-    OPENING   a watch from the revision behind the last one received; not confirmed yet
-    WATCHING  the watch is confirmed and brings each change
-
-A watch that breaks is opened anew where it stopped, at another member. Only a compaction, or a history that
-is longer than a document may be, makes a snapshot necessary.
-
-The check. The gateway's watch has no heartbeat, so silence tells nothing. A linearizable read of the newest
-change and the number of keys, by turns at the watch's member and at another, shows three things: that what is
-held is the newest, that the watch lags behind, or that the member asked is of no use. A check that fails ends
-no watch: only when another member has given a good answer is the watch moved there. Where no member gives
-one, as in the smaller part of a cluster that fell apart, all stays as it is and no connection is made anew
-but the check's, so that a cluster that comes together again meets no wave.
-
-Time until a change is in force, at most, with one member that died without a word just before it, the change
-itself being small:
-
-    CHECK_INTERVAL_MAX_S 4.0  the next check begins
-    CONNECT_TIMEOUT_S   1.5   it is at the dead member: no connection,
-    ANSWER_TIMEOUT_S    2.0     or a connection and no answer
-    CHECK_RETRY_BASE_S  0.5   the next check, at another member, finds the watch doubtful and moves it there
-                        8.0   in force, and 10 s are left: should that member be dead too, 3.5 s for the
-                              time-outs and at most 1 s for the next check bring it to 12.5
-
-Where the dead member had ended its connections it is RETRY_BASE_S, 1.5. Where it lets the watch lag but
-answers checks, 4.0 + LAG_GRACE_S, 2.0. Where the whole cluster was away and comes back with one dead member,
-RETRY_CAP_S, 3.5 and RETRY_CAP_S again: 13.5.
-
-A whole document of the largest size takes 16.6 s at the bytes a second that a budget of 11,000 earns, whether
-in few items or in many (`limits.py`), and the check finds a missed compaction within the rest.
+"""State machine that follows the settings in etcd: which member to call and which revisions to propose.
+
+`SettingsFollower.step(now, events)` takes events and returns actions; it does no I/O and reads no clock. It
+runs one main call at a time and, beside a watch, a small periodic call, the freshness check:
+
+    WAITING   no main call; the next one starts at a random time
+    FETCHING  reading a snapshot in pages, all at the revision of the first page
+    OPENING   opening a watch from the revision after the last one received; not confirmed yet
+    WATCHING  the watch is confirmed and delivers each change
+
+A watch that breaks is reopened at another member, from where it stopped. A snapshot is needed again only
+after a compaction, or if the history to catch up on is longer than a document may be.
+
+Freshness check: the gateway's watch has no heartbeat, so a silent watch may be idle or dead. The check is a
+linearizable read of the newest change and the number of keys, sent in turn to the watch's member and to
+another one. It shows that the node is up to date, that the watch lags, or that the member does not work. A
+failed check does not end the watch; the watch moves only once another member has given a good response. If no
+member gives one, as in the minority part of a partitioned cluster, the watch stays and the checks are the
+only new connections, so that a cluster that heals is not hit by a wave of reconnects.
+
+Longest time until a small change is in force, if one member dies silently just before it:
+
+    CHECK_INTERVAL_MAX_S  4.0   the next check starts
+    CONNECT_TIMEOUT_S     1.5   it goes to the dead member: no connection,
+    ANSWER_TIMEOUT_S      2.0     or a connection without a response
+    CHECK_RETRY_BASE_S    0.5   the next check, at another member, succeeds and the watch moves there
+                          8.0   in force, 10 s before the limit of 18 s. If that member is dead too, 3.5 s of
+                                time-outs and at most 1 s until the next check make it 12.5
+
+If the dead member's connections were closed, the change is in force after RETRY_BASE_S, 1.5. If the member
+lets the watch lag but answers checks: 4.0 + LAG_GRACE_S, 2.0. If the whole cluster was down and comes back
+with one dead member: RETRY_CAP_S + 3.5 + RETRY_CAP_S = 13.5.
+
+Reading a document of the largest size takes 16.6 s at the rate that a budget of 11,000 bytes a second earns,
+whether it has few items or many (`limits.py`). The check notices a missed compaction in the remaining time.
 """
 
 import math
@@ -81,37 +80,37 @@
 from irisstack.dynamic_settings.staleness import StalenessMonitor
 
 CONNECT_TIMEOUT_S = 1.5
-"""Seconds until a connection that does not come about counts as failed."""
+"""Seconds to wait for a connection."""
 ANSWER_TIMEOUT_S = 2.0
-"""Seconds that a member may keep the node waiting for one answer, the node's own pauses left out."""
+"""Seconds that a member may keep the node waiting for one response, without the node's own pauses."""
 RETRY_BASE_S = 1.5
-"""The first retry comes within this time, drawn at random; the range doubles with each failure."""
+"""Seconds; the first retry comes after a random delay up to this. The range doubles with each failure."""
 RETRY_CAP_S = 5.0
-"""Where that doubling ends."""
+"""Seconds; upper bound of the retry range."""
 CHECK_INTERVAL_MIN_S = 3.0
 CHECK_INTERVAL_MAX_S = 4.0
-"""Between these, drawn at random, lies the time from the end of one check to the next."""
+"""Seconds; the delay from the end of a freshness check to the next one is random between these bounds."""
 FIRST_CHECK_DELAY_MAX_S = 0.5
-"""A watch just confirmed is checked within this time."""
+"""Seconds; the first check of a newly confirmed watch comes after a random delay up to this."""
 CHECK_RETRY_BASE_S = 0.5
-"""As `RETRY_BASE_S`, for a check."""
+"""Seconds; as `RETRY_BASE_S`, for a freshness check."""
 LAG_GRACE_S = 2.0
-"""Seconds that the watch is given to bring a change that a check has seen."""
+"""Seconds that the watch has to deliver a change that a check has seen."""
 MIN_FRAME_RATE_SHARE = 0.5
-"""A long frame has to come at this share of the budget's rate; the rest is for what comes beside it."""
+"""Share of the budget's rate at which a long frame has to arrive; other calls may use the rest."""
 OVERSIZED_RETRY_S = 15.0
-"""Seconds until what was too large to be held, by more than one member's word, is looked at again."""
+"""Seconds until the next read of a document that more than one member has shown to be too large to hold."""
 MAX_RESPONSE_BYTES = 512 * 1024
-"""Most bytes of the answer to a range request."""
+"""Longest response to a range request."""
 MAX_FRAME_BYTES = 256 * 1024
-"""Most bytes of a watch's frame: a longer one is a history that a snapshot is shorter than."""
+"""Longest frame of a watch; for a longer history a snapshot is shorter."""
 MAX_PROPOSALS = 16
-"""Of the revisions of one frame the last so many are checked; those before were superseded long ago."""
+"""Most revisions of one frame that are proposed, the last ones; earlier ones have been superseded."""
 
 
 @dataclass(slots=True, frozen=True)
 class ResumeState:
-    """The document last in force, from an earlier life of the node."""
+    """The document last in force, saved by the previous process or before a restart of the follower."""
 
     cluster_id: int
     revision: int
@@ -119,7 +118,7 @@
 
 
 class FollowerState(Enum):
-    """What the main call does."""
+    """State of the main call, as described at the head of the module."""
 
     WAITING = auto()
     FETCHING = auto()
@@ -129,45 +128,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """A call that is under way."""
+    """A call in progress."""
 
     call_id: int
     member: str
     started_at: float
     known_revision: int
-    """The last one received when the call was made."""
+    """The last revision received when the call was made."""
 
 
 @dataclass(slots=True)
 class FreshnessCheck:
-    """The check beside the watch."""
+    """State of the freshness check that runs beside the watch."""
 
     call: Call | None = None
     due_at: float = math.inf
     failures: int = 0
-    """In a row."""
+    """Consecutive failures."""
     use_other_member: bool = False
-    """Whether the next one goes to another member than the watch's."""
+    """Whether the next check goes to a member other than the watch's."""
     watch_suspect: bool = False
-    """Whether one at the watch's member has failed, and none since has given a good answer."""
+    """Whether a check at the watch's member has failed and no check has succeeded since."""
 
 
 @dataclass(slots=True)
 class Lag:
-    """A check has seen what the watch has not brought."""
+    """A check has seen a change that the watch has not delivered."""
 
     since: float
     reported_by: str
     revision: int
-    """The change seen, 0 where only the number of keys differed."""
+    """Revision of the change seen; 0 if only the number of keys differed."""
 
 
 class ContradictionError(Exception):
-    """An answer that contradicts what is known; the text is the name of the line for the log."""
+    """A response that contradicts what the node knows of the cluster; the text is the log event's name."""
 
 
 class SettingsFollower:
-    """The state machine of one node."""
+    """The state machine that follows the settings for one node."""
 
     def __init__(
         self,
@@ -183,36 +182,36 @@
         self._prefix = prefix
         self._range_end = prefix_range_end(prefix)
         self._budget = budget
-        self._resume_state = resume_state  # until it is proposed
-        self._awaiting_resume_result = resume_state is not None  # until it is accepted or refused
+        self._resume_state = resume_state  # None once it has been proposed
+        self._awaiting_resume_result = resume_state is not None  # until the document is accepted or refused
         self._now = now
         self._actions: list[Action] = []
 
         self._cluster_id = resume_state.cluster_id if resume_state is not None else None
-        self._revision = resume_state.revision if resume_state is not None else 0  # the last one received
-        self._confirmed_revision = self._revision  # up to here a check has seen no later change
-        self._min_snapshot_revision = 0  # what a snapshot has to reach, after a compaction
+        self._revision = resume_state.revision if resume_state is not None else 0  # last received
+        self._confirmed_revision = self._revision  # a check has shown that no change up to here is missing
+        self._min_snapshot_revision = 0  # a snapshot after a compaction must be at least this new
         self._accepted_revision = 0
-        self._items: StreamItems | None = None  # as of `_revision`
+        self._items: StreamItems | None = None  # content at `_revision`
         self._snapshot: SnapshotPages | None = None
-        self._no_progress_since_snapshot = False  # nothing has come since the last one
+        self._no_progress_since_snapshot = False  # no change or good check since the last snapshot
 
         self._state = FollowerState.WAITING
         self._main_call: Call | None = None
         self._last_call_id = 0
         self._retry_at = now
-        self._failures = 0  # in a row
-        self._oversized_member: str | None = None  # the last one with a page too long to be read
+        self._failures = 0  # consecutive failures of the main call
+        self._oversized_member: str | None = None  # last member that sent a page over the limit
         self._freshness_check = FreshnessCheck()
         self._lag: Lag | None = None
-        self._partial_frame_bytes = 0  # of the watch's frame under way
+        self._partial_frame_bytes = 0  # received so far of the watch's current frame
         self._staleness = StalenessMonitor(now)
-        self._last_refusal = (0, "")  # the last one's revision and reason, until a document is accepted
-        # Members and what was logged of each, until it works again.
+        self._last_refusal = (0, "")  # revision and reason; reset when a document is accepted
+        # (member, problem) pairs that have been logged; a member's are cleared when it works again.
         self._logged_problems: set[tuple[str, str]] = set()
 
     def step(self, now: float, events: Iterable[Event]) -> list[Action]:
-        """Take in what happened, in order, and the time; returns what to do, in order."""
+        """Process the events in order, then the timers that are due; returns the actions in order."""
         self._now = now
         self._actions = []
         self._propose_resumed_document()
@@ -224,12 +223,12 @@
 
     @property
     def state(self) -> FollowerState:
-        """What the main call does."""
+        """The state of the main call."""
         return self._state
 
     @property
     def revision(self) -> int:
-        """The last revision received, good or bad."""
+        """The last revision received, whether accepted or refused."""
         return self._revision
 
     def _handle_event(self, event: Event) -> None:
@@ -258,10 +257,10 @@
                 if self._awaiting_resume_result:
                     self._discard_resumed_document()
 
-    # ---- time ----
+    # ---- timers ----
 
     def _handle_timers(self) -> None:
-        """Do what has come due."""
+        """Start the calls that are due and handle the time-outs that have passed."""
         self._actions += self._staleness.check(self._now, self._revision)
         if self._lag is not None and self._now >= self._lag_deadline(self._lag):
             self._on_lag_expired(self._lag)
@@ -281,19 +280,19 @@
         return min(times)
 
     def _main_call_due_at(self) -> float:
-        """When the next main call begins: not before its time, nor before the bytes spent are earned."""
+        """When the next main call starts: at its scheduled time, or once the byte budget allows."""
         if self._main_call is not None or self._awaiting_resume_result:
             return math.inf
         return max(self._retry_at, self._now + self._budget.delay(self._now))
 
     def _lag_deadline(self, lag: Lag) -> float:
-        """A long frame is given the time that the node's own budget makes it take."""
+        """When the lag expires; a partly received frame gets the extra time that the byte budget costs it."""
         return (
             lag.since + LAG_GRACE_S + self._partial_frame_bytes / (self._budget.rate * MIN_FRAME_RATE_SHARE)
         )
 
     def _jittered_retry_time(self, base: float, failures: int) -> float:
-        """A time from now, drawn at random from a range that doubles with each failure."""
+        """A random time within a range from now that doubles with each failure."""
         return self._now + self._random.uniform(0.0, min(RETRY_CAP_S, base * 2.0 ** min(failures, 16)))
 
     # ---- the main call ----
@@ -303,7 +302,7 @@
         return Call(self._last_call_id, member, self._now, self._revision)
 
     def _start_main_call(self) -> None:
-        """Ask for a page or open the watch."""
+        """Request the next page of the snapshot or, if the items are known, open the watch."""
         call = self._main_call = self._new_call(self._members.pick(self._now))
         if self._items is not None:
             self._state = FollowerState.OPENING
@@ -321,7 +320,7 @@
         return max(self._revision, self._confirmed_revision) + 1
 
     def _cancel_calls(self) -> None:
-        """Give up the main call, if one is under way, and with it the check."""
+        """Cancel the main call and the freshness check, if in progress."""
         if self._main_call is not None:
             self._actions.append(CancelCall(self._main_call.call_id))
             self._main_call = None
@@ -333,12 +332,12 @@
         self._state = FollowerState.WAITING
 
     def _schedule_main_call(self, pause: float = 0.0) -> None:
-        """Begin the next main call after this pause."""
+        """Cancel the calls in progress and start the next main call after a pause in seconds."""
         self._cancel_calls()
         self._retry_at = self._now + pause
 
     def _back_off(self) -> None:
-        """Begin the next main call after a pause that grows with the failures in a row."""
+        """Cancel the calls in progress and retry after a pause that grows with consecutive failures."""
         self._cancel_calls()
         self._retry_at = self._jittered_retry_time(RETRY_BASE_S, self._failures)
         self._failures += 1
@@ -346,7 +345,7 @@
     def _try_other_member(
         self, member: str, problem: str, reason: str, suspect_for: float = FAILURE_SUSPICION_S
     ) -> None:
-        """The member is of no use for now: try another."""
+        """Mark the member as suspect and retry, at another member if one is left."""
         self._log_member_problem(member, problem, reason)
         self._members.record_failure(member, self._now, suspect_for)
         self._back_off()
@@ -390,7 +389,7 @@
                 self._on_snapshot_complete(snapshot)
 
     def _on_snapshot_complete(self, snapshot: SnapshotPages) -> None:
-        """The snapshot is whole: from here on the watch tells what changes."""
+        """Propose the complete snapshot and watch for changes from its revision on."""
         self._snapshot = None
         self._no_progress_since_snapshot = True
         self._cluster_id = snapshot.cluster_id
@@ -402,13 +401,16 @@
         self._schedule_main_call()
 
     def _on_compacted(self, call: Call, compact_revision: int) -> None:
-        """The history no longer reaches back to where the watch or the snapshot stands."""
+        """The revision of the watch or of the snapshot is no longer in the history: read a new snapshot."""
         self._log(LogLevel.INFO, "settings_compacted", member=call.member, compact_revision=compact_revision)
         self._min_snapshot_revision = max(self._min_snapshot_revision, compact_revision)
         self._refetch_snapshot(call)
 
     def _refetch_snapshot(self, call: Call) -> None:
-        """Begin a snapshot at the same member; where the last one led to nothing, later and at another."""
+        """Read a new snapshot at the same member at once.
+
+        If a snapshot was being read, or nothing has confirmed the last one, try another member after a pause.
+        """
         self._items = None
         self._snapshot = None
         if self._no_progress_since_snapshot or self._state is FollowerState.FETCHING:
@@ -418,7 +420,7 @@
             self._schedule_main_call()
 
     def _on_document_too_large(self, call: Call, revision: int, reason: str) -> None:
-        """More lies below the prefix than is held: look again at another member, and again later."""
+        """Drop a document that is too large to hold; read it again at another member, then less often."""
         self._items = None
         self._snapshot = None
         self._members.record_failure(call.member, self._now)
@@ -429,7 +431,7 @@
             self._back_off()
 
     def _on_page_too_large(self, call: Call, reason: str) -> None:
-        """A page is longer than is read. That is said of the document once two members have shown it."""
+        """Try another member; once two members have sent a page over the limit, refuse the document."""
         if self._oversized_member not in (None, call.member) and reason != self._last_refusal[1]:
             self._on_refused(self._revision, reason)
         self._oversized_member = call.member
@@ -469,7 +471,7 @@
             self._try_other_member(call.member, "canceled", response.cancel_reason)
 
     def _on_changes(self, call: Call, response: WatchResponse) -> None:
-        """Take in the changes revision by revision, each as a whole."""
+        """Apply the changes, each revision as a whole, and propose the latest revisions."""
         revisions = [
             (revision, list(events))
             for revision, events in groupby(response.events, key=lambda event: event.item.mod_revision)
@@ -486,7 +488,7 @@
         self._on_watch_progress()
 
     def _on_watch_progress(self) -> None:
-        """The watch has brought something: it has caught up, or has time for more."""
+        """After changes from the watch: clear the lag if it has caught up, else restart the grace period."""
         if self._lag is None:
             return
         if self._revision >= self._lag.revision:
@@ -495,19 +497,19 @@
             self._lag.since = self._now
 
     def _validate_changes(self, response: WatchResponse, revisions: list[int]) -> None:
-        """Raises an error for changes that the stream cannot hold."""
+        """Raise an error for changes that cannot occur in the watch."""
         last = self._revision
         for revision in revisions:
             if revision <= last:
                 raise ContradictionError("settings_older_revision")
             last = revision
         if last > response.header.revision:
-            raise GatewayError(ErrorKind.MALFORMED, "a change of a later revision than the frame's")
+            raise GatewayError(ErrorKind.MALFORMED, "change of a later revision than the frame's")
         if not all(event.item.key.startswith(self._prefix) for event in response.events):
-            raise GatewayError(ErrorKind.MALFORMED, "a change of a key that was not asked for")
+            raise GatewayError(ErrorKind.MALFORMED, "change of a key outside the watched range")
 
     def _apply_revision(self, call: Call, revision: int, events: list[WatchEvent], propose: bool) -> bool:
-        """Take in one revision; returns whether the watch still goes on."""
+        """Apply the changes of one revision; returns whether the watch continues."""
         items = self._items
         if items is None:
             return False
@@ -522,7 +524,7 @@
             self._propose(revision)
         return True
 
-    # ---- the check ----
+    # ---- the freshness check ----
 
     def _start_check(self) -> None:
         if self._main_call is None or self._state is not FollowerState.WATCHING:
@@ -543,7 +545,7 @@
         try:
             self._validate_header(response.header, call.known_revision)
             if response.items and response.items[0].mod_revision > response.header.revision:
-                raise GatewayError(ErrorKind.MALFORMED, "a change of a later revision than the answer's")
+                raise GatewayError(ErrorKind.MALFORMED, "change of a later revision than the response's")
         except ContradictionError as error:
             self._on_check_failed(
                 call, str(error), self._describe_mismatch(response.header), CONTRADICTION_SUSPICION_S
@@ -567,7 +569,7 @@
         self._resolve_watch_suspicion(call)
 
     def _detect_lag(self, call: Call, response: RangeResponse) -> Lag | None:
-        """Whether the answer shows a change that the watch has not brought."""
+        """The lag, if the response shows a change that the watch has not delivered."""
         newest = response.items[0].mod_revision if response.items else 0
         if newest > self._revision:
             return Lag(self._now, call.member, newest)
@@ -577,7 +579,7 @@
         return None
 
     def _on_confirmed(self, call: Call, response: RangeResponse) -> None:
-        """What is held was the newest when the check was made."""
+        """The node was up to date when the check was made."""
         self._lag = None
         self._failures = 0
         self._no_progress_since_snapshot = False
@@ -585,7 +587,7 @@
         self._actions += self._staleness.confirm(self._now, call.started_at, self._revision)
 
     def _resolve_watch_suspicion(self, call: Call) -> None:
-        """A good answer has come: where the watch's own member gave none, the watch moves to this one."""
+        """After a good check: if the watch's own member had failed one, move the watch to this member."""
         if not self._freshness_check.watch_suspect or self._main_call is None:
             return
         self._freshness_check.watch_suspect = False
@@ -596,7 +598,7 @@
     def _on_check_failed(
         self, call: Call, problem: str, reason: str, suspect_for: float = FAILURE_SUSPICION_S
     ) -> None:
-        """The member is of no use for now. The watch stays until another member has given a good answer."""
+        """Mark the member as suspect; the watch stays until a check at another member succeeds."""
         check = self._freshness_check
         check.call = None
         check.due_at = self._jittered_retry_time(CHECK_RETRY_BASE_S, check.failures)
@@ -607,7 +609,11 @@
         self._members.record_failure(call.member, self._now, suspect_for)
 
     def _on_lag_expired(self, lag: Lag) -> None:
-        """The watch has not brought in time what a check has seen: open it anew from what is held."""
+        """The watch has not delivered in time a change that a check has seen: reopen it.
+
+        A watch's member that reported the change itself contradicts its own watch and is avoided for longer;
+        otherwise the watch moves to the member that reported the change.
+        """
         if self._main_call is None:
             return
         member = self._main_call.member
@@ -627,7 +633,7 @@
     # ---- documents ----
 
     def _propose_resumed_document(self) -> None:
-        """Put the document of an earlier life in force before anything is asked."""
+        """Propose the document from the previous process before the first call."""
         resume_state, self._resume_state = self._resume_state, None
         if resume_state is None:
             return
@@ -641,7 +647,7 @@
         )
 
     def _discard_resumed_document(self) -> None:
-        """The document of an earlier life is of no use: begin with a snapshot."""
+        """The document from the previous process cannot be used: start with a snapshot."""
         self._awaiting_resume_result = False
         self._items = None
 
@@ -661,7 +667,7 @@
         self._log(LogLevel.INFO, "settings_accepted", revision=revision)
 
     def _on_refused(self, revision: int, reason: str) -> None:
-        """Name a bad document, once; the one in force stays."""
+        """Log and count a refused document, once for each revision and reason."""
         if self._last_refusal == (revision, reason):
             return
         self._last_refusal = (revision, reason)
@@ -669,10 +675,10 @@
         in_force = self._accepted_revision
         self._log(LogLevel.ERROR, "settings_refused", revision=revision, reason=reason, in_force=in_force)
 
-    # ---- what is known of the cluster ----
+    # ---- the cluster's identity and revision ----
 
     def _validate_header(self, header: ResponseHeader, min_revision: int) -> None:
-        """Raises `ContradictionError` for an answer of another cluster, or from before what was received."""
+        """Raise `ContradictionError` for a response of another cluster or of too old a revision."""
         if self._cluster_id is not None and header.cluster_id != self._cluster_id:
             raise ContradictionError("settings_other_cluster")
         if header.revision < min_revision:
@@ -680,14 +686,14 @@
 
     def _describe_mismatch(self, header: ResponseHeader) -> str:
         return (
-            f"cluster {header.cluster_id} at revision {header.revision}, "
-            f"held are {self._cluster_id} and {self._revision}"
+            f"got cluster {header.cluster_id} at revision {header.revision}, "
+            f"this node has cluster {self._cluster_id} at revision {self._revision}"
         )
 
-    # ---- what is said ----
+    # ---- log and counters ----
 
     def _log_member_problem(self, member: str, problem: str, reason: str) -> None:
-        """Log what is wrong with a member, once until it works again."""
+        """Log a problem with a member, once until the member works again."""
         if (member, problem) in self._logged_problems:
             return
         self._logged_problems.add((member, problem))
--- a/tests/dynamic_settings/support.py
+++ b/tests/dynamic_settings/support.py
@@ -1,6 +1,6 @@
-"""Nodes that follow the stand-in of a cluster, in virtual time, with members that behave as a test says.
+"""Nodes that follow a simulated etcd cluster in virtual time, with members whose failures a test chooses.
 
-The bytes are those of the gateway, so that the codec is part of every play.
+Members and nodes exchange the bytes of the JSON gateway, so that every test covers the codec as well.
 """
 
 import base64
@@ -49,7 +49,7 @@
 OTHER_CLUSTER = 99
 LATENCY_S = 0.005
 HTTP_HEAD_BYTES = 200
-"""What the heads of a request and its answer come to."""
+"""Approximate size of the HTTP heads of a request and its response."""
 BYTES_PER_S = 11_000.0
 
 
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One key's new value, `None` for a deletion."""
+    """The new value of one key; `None` deletes it."""
 
     key: bytes
     value: bytes | None
@@ -70,7 +70,7 @@
 
 
 def frame_with_changes(revisions: list[tuple[int, list[Change]]], newest: int) -> bytes:
-    """A watch's frame with these changes, whether or not a member would ever send it."""
+    """A watch frame with these changes, even if no real member would send it."""
     events = [to_event(change, revision) for revision, changes in revisions for change in changes]
     return encode_frame(standin.WatchResponse(newest, events=tuple(events)))
 
@@ -93,23 +93,23 @@
     HEALTHY = auto()
     REFUSES_CONNECTION = auto()
     DROPS_PACKETS = auto()
-    """A connection neither comes about nor is refused; those that were open are silent."""
+    """Connection attempts time out; connections that were open receive nothing."""
     SILENT = auto()
-    """Connections come about and bring nothing."""
+    """Accepts connections and sends nothing."""
     NO_LEADER = auto()
     SILENT_WATCH = auto()
-    """Good, but that its watches bring no change."""
+    """Healthy, except that its watches deliver no changes."""
     REPORTS_NEWER = auto()
-    """Claims a newer change than there is."""
+    """Freshness checks report a newer change than there is."""
     OVERSIZED_VALUE = auto()
-    """Has a value of 300 KiB in every snapshot."""
+    """Every snapshot holds a value of 300 KiB."""
     REPORTS_OLDER = auto()
-    """Answers with the first revision."""
+    """Responses are at the first revision."""
     OTHER_CLUSTER = auto()
 
 
 class VirtualLoop:
-    """Virtual time."""
+    """An event loop in virtual time, in seconds."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -130,12 +130,12 @@
 
 
 UNRESPONSIVE_MODES = (MemberMode.REFUSES_CONNECTION, MemberMode.DROPS_PACKETS, MemberMode.SILENT)
-"""Modes in which a member sends nothing, on connections old or new."""
+"""Modes in which a member sends nothing, on existing or new connections."""
 
 
 @dataclass(slots=True)
 class ServedWatch:
-    """A watch that a member serves."""
+    """A node's watch that a member serves."""
 
     node: "Node"
     call_id: int
@@ -143,7 +143,7 @@
 
 
 class Cluster:
-    """The stand-in's members, and how each behaves to a node that calls it."""
+    """The members of the simulated cluster and the mode of each."""
 
     def __init__(self, loop: VirtualLoop, size: int = 7) -> None:
         self.loop = loop
@@ -158,16 +158,16 @@
         return list(self.members)
 
     def put(self, **values: Any) -> int:
-        """One revision that sets paths to JSON values; `__` stands for a slash."""
+        """Set paths to JSON values in one revision; `__` in a name stands for a slash."""
         texts = {name.replace("__", "/"): json.dumps(value) for name, value in values.items()}
         return self.write({path: text.encode() for path, text in texts.items()})
 
     def write(self, values: Mapping[str, bytes | None]) -> int:
-        """One revision that sets paths to bytes, or deletes them."""
+        """Set paths to bytes, or delete them, in one revision."""
         return self.commit([Change(PREFIX + path.encode(), value) for path, value in values.items()])
 
     def commit(self, changes: list[Change]) -> int:
-        """One revision, made by whoever has a quorum."""
+        """Commit the changes in one revision, whatever the members' modes."""
         operations = tuple(
             standin.DeleteRangeRequest(change.key)
             if change.value is None
@@ -183,7 +183,7 @@
         self.etcd.compact(revision)
 
     def set_mode(self, name: str, mode: MemberMode) -> None:
-        """A member behaves otherwise from now on; one that ends takes its connections with it."""
+        """Change a member's mode; `REFUSES_CONNECTION` also closes the connections of its watches."""
         self.modes[name] = mode
         member = self.members[name]
         member.watches_silent = mode is MemberMode.SILENT_WATCH
@@ -204,7 +204,7 @@
             self.set_mode(name, mode)
 
     def _deliver_changes(self, name: str) -> None:
-        """Tell the member's watches what they have not been told."""
+        """Send the member's watches the changes that they have not received."""
         member = self.members[name]
         if self.modes[name] in UNRESPONSIVE_MODES or member.watches_silent:
             return
@@ -224,7 +224,7 @@
         node.respond(action.call_id, body, status)
 
     def _with_newer_change(self, body: bytes) -> bytes:
-        """The answer with a change in it that there never was."""
+        """The response with a change at a revision that does not exist."""
         raw = json.loads(body)
         newer = str(self.etcd.store.revision + 5)
         raw["header"]["revision"] = newer
@@ -249,7 +249,7 @@
         self._deliver_changes(action.member)
 
     def _connect(self, node: "Node", call_id: int, member: str) -> MemberMode | None:
-        """The member's mode if it answers; otherwise the call fails as that mode has it."""
+        """Return the member's mode if it responds; otherwise fail the call as the mode requires."""
         self.connection_attempts.append((self.loop.now, member))
         mode = self.modes[member]
         if mode is MemberMode.REFUSES_CONNECTION:
@@ -273,19 +273,19 @@
 
 @dataclass(slots=True)
 class ResponseRead:
-    """What a call still has to read."""
+    """The response that a call is reading."""
 
     member: str
     is_watch: bool
     unread: list[bytes] = field(default_factory=list)
     status: int = 200
     bytes_read: int = 0
-    """Bytes of the first of them."""
+    """Bytes read of the first unread response or frame."""
     is_reading: bool = False
 
 
 class Node:
-    """One follower and what carries out its actions, in virtual time."""
+    """One follower and the execution of its actions in virtual time."""
 
     def __init__(
         self,
@@ -310,7 +310,7 @@
         self._wake_number = 0
         self.loop.call_later(0.0, lambda: self.step([]))
 
-    # ---- what a test looks at ----
+    # ---- results for tests ----
 
     @property
     def document(self) -> dict[str, Any]:
@@ -326,13 +326,13 @@
 
     @property
     def page_requests(self) -> list[etcd.RangeRequest]:
-        """The pages that were asked for."""
+        """The requests for snapshot pages."""
         ranges = [action.request for action in self.sent_actions if isinstance(action, SendRangeRequest)]
         return [request for request in ranges if not request.newest_first]
 
     @property
     def snapshot_count(self) -> int:
-        """How many first pages were asked for."""
+        """Number of snapshots that were started."""
         return sum(not page.revision for page in self.page_requests)
 
     @property
@@ -342,7 +342,7 @@
     def logged(self, event: str) -> list[Log]:
         return [line for line in self.logs if line.event == event]
 
-    # ---- what members do ----
+    # ---- called by the members ----
 
     def fail(self, call_id: int, kind: FailureKind, delay: float) -> None:
         self.loop.call_later(delay, lambda: self._fail(call_id, kind, kind.name))
@@ -353,7 +353,7 @@
     def send_frame(self, call_id: int, frame: bytes) -> None:
         self.loop.call_later(LATENCY_S, lambda: self._on_data(call_id, frame, 200))
 
-    # ---- carrying out ----
+    # ---- execution of actions ----
 
     def step(self, events: list[Event]) -> None:
         for action in self.follower.step(self.loop.now, events):
@@ -419,7 +419,7 @@
                 self._read(call_id)
 
     def _read(self, call_id: int) -> None:
-        """Read a piece as soon as the budget allows."""
+        """Read one chunk as soon as the budget allows."""
         response_read = self._calls.get(call_id)
         if response_read is None:
             return
@@ -435,7 +435,7 @@
         self._spend(chunk_size)
         response_read.bytes_read += chunk_size
         if response_read.bytes_read > (MAX_FRAME_BYTES if response_read.is_watch else MAX_RESPONSE_BYTES):
-            self._fail(call_id, FailureKind.TOO_LARGE, "the answer is too long")
+            self._fail(call_id, FailureKind.TOO_LARGE, "the response is too long")
         elif response_read.bytes_read < len(data):
             self.loop.call_later(0.0, lambda: self._read(call_id))
             if response_read.is_watch:
--- a/tests/dynamic_settings/test_decisions.py
+++ b/tests/dynamic_settings/test_decisions.py
@@ -1,6 +1,6 @@
-"""The follower against members that fail in each way, in virtual time.
+"""The settings follower against members that fail in different ways, in virtual time.
 
-A figure in seconds here is one of virtual time, and of the promise that a change is in force within 18 s.
+A change has to be in force within 18 s. All times here are virtual.
 """
 
 from collections import Counter
@@ -28,10 +28,10 @@
 )
 
 IN_FORCE_LIMIT_S = 18.0
-"""A change is in force everywhere within this time."""
+"""Seconds within which a change has to be in force at every node."""
 SEEDS = range(40)
 MAX_REQUEST_BYTES = 512
-"""More than any request of the follower's."""
+"""Upper bound of the size of the follower's requests."""
 
 
 def new_cluster(**values: Any) -> Cluster:
@@ -42,7 +42,7 @@
 
 
 def settled_node(cluster: Cluster, **options: Any) -> Node:
-    """A node that watches and has been told that it holds the newest."""
+    """A node whose watch is open and whose freshness has been confirmed."""
     node = Node(cluster, **options)
     cluster.loop.run_for(10.0)
     assert node.follower.state is FollowerState.WATCHING
@@ -50,11 +50,11 @@
 
 
 def refuse_odd(items: Mapping[str, Any]) -> str:
-    """A check that refuses documents whose `n` is odd."""
-    return f"n: an even number is due, not {items['n']}" if items.get("n", 0) % 2 else ""
+    """A document check that refuses an odd `n`."""
+    return f"n: expected an even number, got {items['n']}" if items.get("n", 0) % 2 else ""
 
 
-# ---- taking a document ----
+# ---- documents and changes ----
 
 
 def test_start_reads_the_whole_document_and_watches_from_the_next_revision() -> None:
@@ -113,7 +113,7 @@
     assert "lanes/001" not in node.document
 
 
-# ---- refusing ----
+# ---- refused documents ----
 
 
 def test_a_refused_revision_is_logged_and_a_later_good_one_accepted() -> None:
@@ -124,12 +124,12 @@
     assert [(revision, items["n"]) for _, revision, items in node.in_force] == [(2, 2), (good, 4)]
     (line,) = node.logged("settings_refused")
     assert line.level is LogLevel.ERROR
-    assert line.fields == {"revision": bad, "reason": "n: an even number is due, not 3", "in_force": 2}
+    assert line.fields == {"revision": bad, "reason": "n: expected an even number, got 3", "in_force": 2}
     assert node.counters["settings_refused"] == 1
 
 
 def test_a_document_is_refused_until_its_invalid_value_is_corrected() -> None:
-    """A later change of another key doesn't make the bad one good."""
+    """A later change of another key does not correct it."""
     cluster = new_cluster(n=2)
     node = settled_node(cluster, check=refuse_odd)
     cluster.put(n=3)
@@ -236,7 +236,7 @@
     assert set(node.document) == {"good", "a"}
 
 
-# ---- resuming ----
+# ---- resuming after a restart or a broken watch ----
 
 
 def test_a_restart_resumes_from_the_saved_revision() -> None:
@@ -305,7 +305,7 @@
 
 
 def test_a_compaction_does_not_affect_a_prefix_without_changes() -> None:
-    """Checks have shown that no change lies between what is held and the newest revision."""
+    """Checks have confirmed that the prefix has not changed up to a revision that is still in the history."""
     cluster = new_cluster(n=1)
     node = settled_node(cluster)
     for _ in range(50):
@@ -331,7 +331,7 @@
     assert set(node.document) == {"n", "a"}
 
 
-# ---- no step back ----
+# ---- contradicting members ----
 
 
 def test_a_cluster_restored_to_an_older_revision_is_refused_and_logged() -> None:
@@ -342,7 +342,7 @@
     assert node.document == {"n": 9}
     logged = node.logged("settings_older_revision")
     assert logged
-    assert "revision 2, held are 77 and 500" in logged[0].fields["reason"]
+    assert "revision 2, this node has cluster 77 at revision 500" in logged[0].fields["reason"]
     assert len(logged) <= 7
 
 
@@ -408,11 +408,11 @@
     assert node.snapshot_count == 1
 
 
-# ---- members that fail ----
+# ---- failing members ----
 
 
 def longest_until_in_force(failing: MemberMode, dead: int, seeds: range = SEEDS) -> float:
-    """The longest time until a change is in force, over the seeds; the watch's member and others fail."""
+    """The longest time over the seeds until a change is in force; `dead` members fail, the watch's first."""
     longest = 0.0
     for seed in seeds:
         cluster = new_cluster(n=1)
@@ -443,7 +443,7 @@
 def test_a_change_is_in_force_in_time_although_the_watch_member_failed(
     failing: MemberMode, bound: float
 ) -> None:
-    """The bounds are those of the arithmetic in `decisions`."""
+    """The bounds are those calculated at the head of `decisions`, plus 0.1 s."""
     assert longest_until_in_force(failing, 1) < bound
 
 
@@ -464,7 +464,7 @@
     assert node.watch_member != faulty_member
     watches_before = len(node.opened_watches)
     cluster.loop.run_for(120.0)
-    assert len(node.opened_watches) - watches_before <= 8, "at most two moves a minute and a way back"
+    assert len(node.opened_watches) - watches_before <= 8, "at most two moves a minute and one move back"
     changed_at = cluster.loop.now
     cluster.put(n=2)
     cluster.loop.run_for(IN_FORCE_LIMIT_S)
@@ -487,7 +487,7 @@
 
 def test_repeated_false_compaction_errors_cause_no_reconnect_loop() -> None:
     cluster = new_cluster(n=1)
-    cluster.etcd.store.compact_revision = 50  # beyond the newest: no honest member says so
+    cluster.etcd.store.compact_revision = 50  # beyond the newest; no correct member reports that
     node = Node(cluster, resume_state=ResumeState(CLUSTER, 2, {"n": 1}))
     cluster.loop.run_for(60.0)
     assert node.document == {"n": 1}
@@ -538,7 +538,7 @@
 
 
 def test_nodes_in_the_minority_of_a_partition_keep_their_watches() -> None:
-    """Where no member has a quorum nothing is gained by a new watch; all go on when they are one again."""
+    """Without a quorum at any member a new watch is useless; the old ones continue when the cluster heals."""
     cluster = new_cluster(n=1)
     nodes = [Node(cluster, seed=seed) for seed in range(100)]
     cluster.loop.run_for(10.0)
@@ -553,7 +553,7 @@
         node.document == {"n": 2} and node.in_force[-1][0] - changed_at < IN_FORCE_LIMIT_S for node in nodes
     )
     moved = sum(len(node.opened_watches) for node in nodes) - sum(watches_before)
-    assert moved <= len(nodes), "each moves once at most"
+    assert moved <= len(nodes), "each node moves its watch once at most"
     assert sum(node.snapshot_count for node in nodes) == len(nodes)
 
 
@@ -561,7 +561,7 @@
 
 
 def max_in_window(times: list[float], window: float) -> int:
-    """The most of the times that lie within one window of this length."""
+    """The largest number of times within any window of this length, in seconds."""
     times = sorted(times)
     first = 0
     largest = 0
@@ -594,13 +594,13 @@
     ]
     assert len(reopened) <= 1.5 * shares[lost_member]
     assert max_in_window(reopened, 0.1) <= 25, (
-        "120 nodes over 1.5 s are 8 in a tenth; drawn at random, some more"
+        "120 nodes over 1.5 s make 8 in 0.1 s on average, more at random"
     )
     shares_after = Counter(node.watch_member for node in nodes)
     assert lost_member not in shares_after
     assert max(shares_after.values()) < 190
     checks_each = (len(cluster.connection_attempts) - attempts_before) / len(nodes)
-    assert checks_each < 8, "one call for each check, every 3 to 4 s, and those of the lost member anew"
+    assert checks_each < 8, "a call every 3 to 4 s, and retries of checks at the lost member"
 
 
 def test_a_fleet_without_a_cluster_does_not_synchronize_its_retries() -> None:
@@ -621,13 +621,13 @@
 
 
 def largest_document(keys: int) -> dict[str, bytes | None]:
-    """The largest document in so many items."""
+    """A document of the largest size with this number of items."""
     size = MAX_DOCUMENT_BYTES // keys - ITEM_OVERHEAD_BYTES
     return {f"lanes/{i:04d}": b'"' + b"x" * (size - 12) + b'"' for i in range(keys)}
 
 
 def assert_within_budget(node: Node) -> None:
-    """In no second was more spent than is allowed, but for a check's request, which doesn't wait."""
+    """No second exceeds the budget, except by a check's request, which is sent without waiting."""
     first = 0
     total = 0
     for time, size in node.spent_bytes:
@@ -671,4 +671,4 @@
     entries_before = len(node.spent_bytes)
     cluster.loop.run_for(600.0)
     spent = sum(size for _, size in node.spent_bytes[entries_before:])
-    assert spent / 600.0 < 500, "bytes a second for a check every 3 to 4 s"
+    assert spent / 600.0 < 500, "bytes a second, with a check every 3 to 4 s"
