--- a/irisstack/dynamic_settings/budget.py
+++ b/irisstack/dynamic_settings/budget.py
@@ -4,7 +4,7 @@
 """Most bytes to read from a connection at once, so that a debt stays small."""
 BURST_S = 0.02
 """A budget that has rested holds what so many seconds bring: a timer which fires late loses nothing."""
-ROUNDING_BYTES = 0.5
+ROUNDING_TOLERANCE_BYTES = 0.5
 """A debt below this counts as none: times are floats."""
 
 
@@ -17,11 +17,11 @@
     """
 
     def __init__(self, bytes_per_s: float, now: float) -> None:
-        self._most = BURST_S * bytes_per_s
-        self.rate = bytes_per_s - self._most - READ_CHUNK_BYTES
+        self._max_balance = BURST_S * bytes_per_s
+        self.rate = bytes_per_s - self._max_balance - READ_CHUNK_BYTES
         """Bytes earned in a second."""
-        self._balance = self._most
-        self._at = now
+        self._balance = self._max_balance
+        self._updated_at = now
 
     def spend(self, now: float, size: int) -> None:
         """Bytes were sent or received."""
@@ -31,11 +31,11 @@
     def delay(self, now: float) -> float:
         """Seconds until more may be spent, 0 if that is now."""
         self._refill(now)
-        if self._balance >= -ROUNDING_BYTES:
+        if self._balance >= -ROUNDING_TOLERANCE_BYTES:
             return 0.0
         return -self._balance / self.rate
 
     def _refill(self, now: float) -> None:
-        passed = max(0.0, now - self._at)
-        self._balance = min(self._most, self._balance + passed * self.rate)
-        self._at = max(self._at, now)
+        elapsed = max(0.0, now - self._updated_at)
+        self._balance = min(self._max_balance, self._balance + elapsed * self.rate)
+        self._updated_at = max(self._updated_at, now)
--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -16,7 +16,7 @@
 from irisstack.settings import DEDUP_SCOPES, EFFECTS, Reader, SettingsError, message_class, tenant
 
 LANES, TENANTS, KINDS = "lanes", "tenants", "kinds"
-LISTS = (LANES, TENANTS, KINDS)
+MEMBER_LISTS = (LANES, TENANTS, KINDS)
 """First parts of paths that define one member of a list."""
 SECTIONS = frozenset(
     {
@@ -36,7 +36,7 @@
     }
 )
 """First parts of paths at which a value is laid over the file's."""
-KIND_LISTS = ("batchByKind", "separateRoutes")
+PER_KIND_LISTS = ("batchByKind", "separateRoutes")
 """Lists under `extra` that run parallel to the kinds, which are set one by one."""
 
 
@@ -52,32 +52,32 @@
     _check_paths(items)
     document: dict[str, Any] = dict(base)
     for path in sorted(items):
-        if path.partition("/")[0] not in LISTS:
-            document = _laid_at(document, path, path.split("/"), items[path])
-    lists = {name: _members(items, name) for name in LISTS}
+        if path.partition("/")[0] not in MEMBER_LISTS:
+            document = _overlay_at(document, path, path.split("/"), items[path])
+    lists = {name: _members(items, name) for name in MEMBER_LISTS}
     if lists[LANES]:
-        document["lanes"] = _in_order(base.get("lanes"), _lanes(lists[LANES]))
+        document["lanes"] = _ordered_values(base.get("lanes"), _class_items(lists[LANES]))
     if lists[TENANTS]:
-        document["tenants"] = _in_order(base.get("tenants"), _tenants(lists[TENANTS]))
+        document["tenants"] = _ordered_values(base.get("tenants"), _tenant_items(lists[TENANTS]))
     if lists[KINDS]:
-        document = _with_kinds(document, _kinds_in_order(base.get("shapes"), _kinds(lists[KINDS])))
+        document = _with_kinds(document, _ordered_kinds(base.get("shapes"), _parse_kinds(lists[KINDS])))
     return _with_retired(document, retired or {})
 
 
-def class_item(kind: MessageClass) -> dict[str, Any]:
+def class_item(definition: MessageClass) -> dict[str, Any]:
     """A class as the settings list writes it."""
     effects = {effect: name for name, effect in EFFECTS.items()}
     scopes = {scope: name for name, scope in DEDUP_SCOPES.items()}
     return {
-        "name": kind.name,
-        "repeat": effects[kind.effect],
-        "slo": kind.latency_target,
-        "hardLimit": kind.deadline,
-        "importance": kind.worth,
-        "lateValue": kind.late_worth,
-        "group": scopes[kind.dedup_scope],
-        "window": kind.dedup_window,
-        "keepOrder": kind.ordered,
+        "name": definition.name,
+        "repeat": effects[definition.effect],
+        "slo": definition.latency_target,
+        "hardLimit": definition.deadline,
+        "importance": definition.worth,
+        "lateValue": definition.late_worth,
+        "group": scopes[definition.dedup_scope],
+        "window": definition.dedup_window,
+        "keepOrder": definition.ordered,
     }
 
 
@@ -91,12 +91,12 @@
 
 def check_size(items: Mapping[str, Any], what: str = "the document") -> None:
     """Refuse items that are no JSON, or hold more together than a document may."""
-    size = sum(item_size(len(path.encode()), len(_compact(path, value))) for path, value in items.items())
+    size = sum(item_size(len(path.encode()), len(_encode_json(path, value))) for path, value in items.items())
     if size > MAX_DOCUMENT_BYTES:
         raise SettingsError(f"{what}: {MAX_DOCUMENT_BYTES} bytes at most are due, not {size}")
 
 
-def _compact(path: str, value: Any) -> bytes:
+def _encode_json(path: str, value: Any) -> bytes:
     try:
         return json.dumps(value, separators=(",", ":"), allow_nan=False).encode()
     except (TypeError, ValueError, RecursionError) as error:
@@ -108,20 +108,22 @@
         parts = path.split("/")
         if not all(parts):
             raise SettingsError(f"{path or '(empty path)'}: a path without empty parts is due")
-        if parts[0] in LISTS:
+        if parts[0] in MEMBER_LISTS:
             _check_member(path, parts, value)
         elif parts[0] == "shapes":
             raise SettingsError(f"{path}: kinds are set one by one, at {KINDS}/NAME")
         elif parts[0] not in SECTIONS:
-            raise SettingsError(f"{path}: no such kind of path; one of {', '.join(_known())} is due first")
+            raise SettingsError(
+                f"{path}: no such kind of path; one of {', '.join(_known_first_parts())} is due first"
+            )
         elif parts[0] == "extra":
             _check_extra(path, parts, value)
     for path in items:
-        _check_alone(path, items)
+        _check_not_nested(path, items)
 
 
-def _known() -> list[str]:
-    return sorted((*LISTS, *SECTIONS))
+def _known_first_parts() -> list[str]:
+    return sorted((*MEMBER_LISTS, *SECTIONS))
 
 
 def _check_member(path: str, parts: list[str], value: Any) -> None:
@@ -135,96 +137,100 @@
 
 def _check_extra(path: str, parts: list[str], value: Any) -> None:
     """The lists that run parallel to the kinds cannot be set beside these."""
-    named = parts[1] if len(parts) > 1 else next((key for key in KIND_LISTS if _holds(value, key)), "")
-    if named in KIND_LISTS:
-        raise SettingsError(f"{path}: {named} is set kind by kind, at {KINDS}/NAME")
+    key_name = (
+        parts[1] if len(parts) > 1 else next((key for key in PER_KIND_LISTS if _has_key(value, key)), "")
+    )
+    if key_name in PER_KIND_LISTS:
+        raise SettingsError(f"{path}: {key_name} is set kind by kind, at {KINDS}/NAME")
 
 
-def _holds(value: Any, key: str) -> bool:
+def _has_key(value: Any, key: str) -> bool:
     return isinstance(value, Mapping) and key in value
 
 
-def _check_alone(path: str, items: Mapping[str, Any]) -> None:
+def _check_not_nested(path: str, items: Mapping[str, Any]) -> None:
     """No item at a path inside another item's path: the two would contradict."""
-    above, _, _ = path.rpartition("/")
-    while above:
-        if above in items:
-            raise SettingsError(f"{path}: lies inside {above}, which another item sets")
-        above, _, _ = above.rpartition("/")
+    parent, _, _ = path.rpartition("/")
+    while parent:
+        if parent in items:
+            raise SettingsError(f"{path}: lies inside {parent}, which another item sets")
+        parent, _, _ = parent.rpartition("/")
 
 
 # ---- values laid over the file's ----
 
 
-def _laid_at(below: Mapping[str, Any], path: str, parts: list[str], value: Any) -> dict[str, Any]:
-    """A copy of `below` with a value laid over what stands at `parts`."""
+def _overlay_at(base: Mapping[str, Any], path: str, parts: list[str], value: Any) -> dict[str, Any]:
+    """A copy of `base` with a value laid over what stands at `parts`."""
     first, rest = parts[0], parts[1:]
-    present = below.get(first)
+    present = base.get(first)
     if not rest:
-        return {**below, first: _laid_over(path, present, value)}
+        return {**base, first: _overlay(path, present, value)}
     if present is not None and not isinstance(present, Mapping):
         raise SettingsError(f"{path}: {first} is no object, so that nothing can be set in it")
-    return {**below, first: _laid_at(present or {}, path, rest, value)}
+    return {**base, first: _overlay_at(present or {}, path, rest, value)}
 
 
-def _laid_over(path: str, below: Any, above: Any) -> Any:
-    if not isinstance(below, Mapping):
-        return above
-    if not isinstance(above, Mapping):
-        raise SettingsError(f"{path}: an object is due, not {type(above).__name__}")
+def _overlay(path: str, base: Any, override: Any) -> Any:
+    if not isinstance(base, Mapping):
+        return override
+    if not isinstance(override, Mapping):
+        raise SettingsError(f"{path}: an object is due, not {type(override).__name__}")
     return {
-        **below,
-        **{key: _laid_over(f"{path}/{key}", below.get(key), value) for key, value in above.items()},
+        **base,
+        **{key: _overlay(f"{path}/{key}", base.get(key), value) for key, value in override.items()},
     }
 
 
 # ---- lists whose members are items ----
 
 
-def _members(items: Mapping[str, Any], of: str) -> dict[str, Any]:
+def _members(items: Mapping[str, Any], list_name: str) -> dict[str, Any]:
     """The members of one list by name."""
-    start = f"{of}/"
-    return {path.removeprefix(start): items[path] for path in sorted(items) if path.startswith(start)}
+    prefix = f"{list_name}/"
+    return {path.removeprefix(prefix): items[path] for path in sorted(items) if path.startswith(prefix)}
 
 
-def _lanes(members: Mapping[str, Any]) -> dict[str, Any]:
+def _class_items(members: Mapping[str, Any]) -> dict[str, Any]:
     for name, value in members.items():
         message_class(Reader({**value, "name": name}, f"{LANES}/{name}"))
     return {name: {**value, "name": name} for name, value in members.items()}
 
 
-def _tenants(members: Mapping[str, Any]) -> dict[str, Any]:
+def _tenant_items(members: Mapping[str, Any]) -> dict[str, Any]:
     for name, value in members.items():
         tenant(Reader({**value, "name": name}, f"{TENANTS}/{name}"))
     return {name: {**value, "name": name} for name, value in members.items()}
 
 
-def _kinds(members: Mapping[str, Any]) -> dict[str, DestinationKind]:
+def _parse_kinds(members: Mapping[str, Any]) -> dict[str, DestinationKind]:
     kinds = {}
     for name, value in members.items():
         reader = Reader(value, f"{KINDS}/{name}")
-        most = reader.integer("maxBatch", 1)
-        if most < 1:
-            raise SettingsError(f"{reader.path('maxBatch')}: 1 or more is due, not {most}")
-        kinds[name] = DestinationKind(name, most, reader.boolean("separateRoutes"))
+        max_batch = reader.integer("maxBatch", 1)
+        if max_batch < 1:
+            raise SettingsError(f"{reader.path('maxBatch')}: 1 or more is due, not {max_batch}")
+        kinds[name] = DestinationKind(name, max_batch, reader.boolean("separateRoutes"))
     return kinds
 
 
-def _in_order(base: Any, members: Mapping[str, Any]) -> list[Any]:
+def _ordered_values(base: Any, members: Mapping[str, Any]) -> list[Any]:
     """Those that the file names first, in its order, then the others by name."""
-    named = [item.get("name") for item in base if isinstance(item, Mapping)] if isinstance(base, list) else []
-    return [members[name] for name in _names_in_order(named, members)]
+    listed_names = (
+        [item.get("name") for item in base if isinstance(item, Mapping)] if isinstance(base, list) else []
+    )
+    return [members[name] for name in _ordered_names(listed_names, members)]
 
 
-def _kinds_in_order(base: Any, kinds: Mapping[str, DestinationKind]) -> list[DestinationKind]:
-    named = base if isinstance(base, list) else []
-    return [kinds[name] for name in _names_in_order(named, kinds)]
+def _ordered_kinds(base: Any, kinds: Mapping[str, DestinationKind]) -> list[DestinationKind]:
+    listed_names = base if isinstance(base, list) else []
+    return [kinds[name] for name in _ordered_names(listed_names, kinds)]
 
 
-def _names_in_order(first: Iterable[Any], names: Iterable[str]) -> list[str]:
+def _ordered_names(first: Iterable[Any], names: Iterable[str]) -> list[str]:
     known = set(names)
-    ahead = [name for name in dict.fromkeys(first) if name in known]
-    return [*ahead, *sorted(known - set(ahead))]
+    leading = [name for name in dict.fromkeys(first) if name in known]
+    return [*leading, *sorted(known - set(leading))]
 
 
 def _with_kinds(document: Mapping[str, Any], kinds: Iterable[DestinationKind]) -> dict[str, Any]:
@@ -233,11 +239,14 @@
     extra = document.get("extra", {})
     if not isinstance(extra, Mapping):
         raise SettingsError(f"extra: an object is due, not {type(extra).__name__}")
-    batches, apart = [kind.max_batch for kind in kinds], [kind.separate_routes for kind in kinds]
+    max_batches, separate_routes = (
+        [kind.max_batch for kind in kinds],
+        [kind.separate_routes for kind in kinds],
+    )
     return {
         **document,
         "shapes": [kind.name for kind in kinds],
-        "extra": {**extra, "batchByKind": batches, "separateRoutes": apart},
+        "extra": {**extra, "batchByKind": max_batches, "separateRoutes": separate_routes},
     }
 
 
@@ -245,8 +254,8 @@
 
 
 def _with_retired(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
-    document = _with_retired_lanes(document, _lanes(_members(retired, LANES)))
-    kinds = _kinds(_members(retired, KINDS))
+    document = _with_retired_lanes(document, _class_items(_members(retired, LANES)))
+    kinds = _parse_kinds(_members(retired, KINDS))
     return _with_retired_kinds(document, kinds) if kinds else document
 
 
@@ -266,8 +275,11 @@
 def _with_retired_kinds(document: dict[str, Any], retired: Mapping[str, DestinationKind]) -> dict[str, Any]:
     reader = Reader(document)
     names, extra = reader.texts("shapes"), reader.section("extra")
-    batches, apart = extra.per_name("batchByKind", names, 1), extra.per_name("separateRoutes", names, False)
-    present = dict(zip(names, map(DestinationKind, names, batches, apart), strict=True))
+    max_batches, separate_routes = (
+        extra.per_name("batchByKind", names, 1),
+        extra.per_name("separateRoutes", names, False),
+    )
+    present = dict(zip(names, map(DestinationKind, names, max_batches, separate_routes), strict=True))
     for name in retired.keys() & present.keys():
         check_kind_compatible(present[name], retired[name])
     added = [kind for name, kind in retired.items() if name not in present]
--- a/irisstack/dynamic_settings/etcd.py
+++ b/irisstack/dynamic_settings/etcd.py
@@ -21,9 +21,9 @@
 
 MAX_INT64 = 2**63 - 1
 MAX_UINT64 = 2**64 - 1
-SHOWN_CHARACTERS = 120
+MAX_QUOTED_CHARACTERS = 120
 """How much of a text that a member sent is repeated in an error."""
-COMPACTED_TEXT = "required revision has been compacted"
+COMPACTED_MESSAGE = "required revision has been compacted"
 
 
 class ErrorKind(Enum):
@@ -99,7 +99,10 @@
     keys_only: bool = False
 
     def body(self) -> bytes:
-        fields: dict[str, Any] = {"key": _text(self.key), "range_end": _text(self.range_end)}
+        fields: dict[str, Any] = {
+            "key": _encode_base64(self.key),
+            "range_end": _encode_base64(self.range_end),
+        }
         if self.revision:
             fields["revision"] = str(self.revision)
         if self.limit:
@@ -109,7 +112,7 @@
             fields["sort_target"] = "MOD"
         if self.keys_only:
             fields["keys_only"] = True
-        return _dump(fields)
+        return _encode_json(fields)
 
 
 @dataclass(slots=True, frozen=True)
@@ -136,14 +139,15 @@
     deletes: Sequence[bytes]
 
     def body(self) -> bytes:
-        none_later = _compare(self.key, "LESS", self.unchanged_since + 1)
-        none_later["range_end"] = _text(self.range_end)
+        no_later_change = _compare(self.key, "LESS", self.unchanged_since + 1)
+        no_later_change["range_end"] = _encode_base64(self.range_end)
         compares = [_compare(key, "EQUAL", revision) for key, revision in self.expected_revisions.items()]
         puts = [
-            {"request_put": {"key": _text(key), "value": _text(value)}} for key, value in self.puts.items()
+            {"request_put": {"key": _encode_base64(key), "value": _encode_base64(value)}}
+            for key, value in self.puts.items()
         ]
-        deletes = [{"request_delete_range": {"key": _text(key)}} for key in self.deletes]
-        return _dump({"compare": [none_later, *compares], "success": [*puts, *deletes]})
+        deletes = [{"request_delete_range": {"key": _encode_base64(key)}} for key in self.deletes]
+        return _encode_json({"compare": [no_later_change, *compares], "success": [*puts, *deletes]})
 
 
 @dataclass(slots=True, frozen=True)
@@ -164,11 +168,11 @@
 
     def body(self) -> bytes:
         fields = {
-            "key": _text(self.key),
-            "range_end": _text(self.range_end),
+            "key": _encode_base64(self.key),
+            "range_end": _encode_base64(self.range_end),
             "start_revision": str(self.start_revision),
         }
-        return _dump({"create_request": fields})
+        return _encode_json({"create_request": fields})
 
 
 @dataclass(slots=True, frozen=True)
@@ -186,9 +190,9 @@
 
 def prefix_range_end(prefix: bytes) -> bytes:
     """The first key behind all that begin with the prefix; a zero byte stands for the end of all keys."""
-    for at in range(len(prefix) - 1, -1, -1):
-        if prefix[at] < 0xFF:
-            return prefix[:at] + bytes([prefix[at] + 1])
+    for index in range(len(prefix) - 1, -1, -1):
+        if prefix[index] < 0xFF:
+            return prefix[:index] + bytes([prefix[index] + 1])
     return b"\0"
 
 
@@ -199,116 +203,118 @@
 
 def parse_range_response(status: int, body: bytes) -> RangeResponse:
     """The answer to a `RangeRequest`; raises `GatewayError`."""
-    raw = _document(body)
+    raw = _parse_object(body)
     if status != HTTPStatus.OK or "error" in raw:
-        raise _refusal(raw, status)
+        raise _to_error(raw, status)
     return RangeResponse(
-        header=_header(raw),
-        items=tuple(_key_value(item, f"kvs[{i}]") for i, item in enumerate(_list(raw, "kvs"))),
-        more=_flag(raw, "more"),
-        count=_integer(raw, "count"),
+        header=_parse_header(raw),
+        items=tuple(_parse_key_value(item, f"kvs[{i}]") for i, item in enumerate(_get_list(raw, "kvs"))),
+        more=_get_bool(raw, "more"),
+        count=_get_integer(raw, "count"),
     )
 
 
 def parse_txn_response(status: int, body: bytes) -> TxnResponse:
     """The answer to a `TxnRequest`; raises `GatewayError`."""
-    raw = _document(body)
+    raw = _parse_object(body)
     if status != HTTPStatus.OK or "error" in raw:
-        raise _refusal(raw, status)
-    return TxnResponse(_header(raw), _flag(raw, "succeeded"))
+        raise _to_error(raw, status)
+    return TxnResponse(_parse_header(raw), _get_bool(raw, "succeeded"))
 
 
 def parse_watch_error(status: int, body: bytes) -> GatewayError:
     """Why a watch was not opened, of an answer whose status is not 200."""
     try:
-        return _refusal(_document(body), status)
+        return _to_error(_parse_object(body), status)
     except GatewayError:
         return GatewayError(ErrorKind.REFUSED, f"status {status}")
 
 
 def parse_watch_response(frame: bytes) -> WatchResponse:
     """One frame of a watch; raises `GatewayError`."""
-    raw = _document(frame)
+    raw = _parse_object(frame)
     if "error" in raw:
-        raise _refusal(raw, HTTPStatus.OK)
-    result = _object(raw, "result")
-    canceled = _flag(result, "canceled")
+        raise _to_error(raw, HTTPStatus.OK)
+    result = _get_object(raw, "result")
+    canceled = _get_bool(result, "canceled")
     return WatchResponse(
         # Where a compaction cancels the watch, etcd leaves the revision out.
-        header=_header(result, least_revision=0 if canceled else 1),
-        events=tuple(_watch_event(event, f"events[{i}]") for i, event in enumerate(_list(result, "events"))),
-        created=_flag(result, "created"),
+        header=_parse_header(result, min_revision=0 if canceled else 1),
+        events=tuple(
+            _parse_watch_event(event, f"events[{i}]") for i, event in enumerate(_get_list(result, "events"))
+        ),
+        created=_get_bool(result, "created"),
         canceled=canceled,
-        compact_revision=_integer(result, "compact_revision"),
-        cancel_reason=_shown(result.get("cancel_reason", "")),
+        compact_revision=_get_integer(result, "compact_revision"),
+        cancel_reason=_quote(result.get("cancel_reason", "")),
     )
 
 
 # ---- out of JSON ----
 
 
-def _document(data: bytes) -> Mapping[str, Any]:
+def _parse_object(data: bytes) -> Mapping[str, Any]:
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
-        raise _malformed(f"no JSON: {_shown(data)}") from None
+        raise _malformed(f"no JSON: {_quote(data)}") from None
     if not isinstance(raw, dict):
-        raise _malformed(f"no JSON object: {_shown(data)}")
+        raise _malformed(f"no JSON object: {_quote(data)}")
     return raw
 
 
-def _refusal(raw: Mapping[str, Any], status: int) -> GatewayError:
+def _to_error(raw: Mapping[str, Any], status: int) -> GatewayError:
     """The error that an answer or a frame holds; the gateway nests it in a stream and not in an answer."""
     nested = raw.get("error")
     fields = nested if isinstance(nested, dict) else raw
     message = fields.get("message") or nested or f"status {status}"
     code = fields.get("grpc_code", fields.get("code"))
-    text = _shown(message)
-    if code == GrpcCode.OUT_OF_RANGE and COMPACTED_TEXT in text:
+    text = _quote(message)
+    if code == GrpcCode.OUT_OF_RANGE and COMPACTED_MESSAGE in text:
         return GatewayError(ErrorKind.COMPACTED, text)
     return GatewayError(ErrorKind.REFUSED, text)
 
 
-def _header(raw: Mapping[str, Any], least_revision: int = 1) -> ResponseHeader:
-    header = _object(raw, "header")
-    revision = _integer(header, "revision")
-    if revision < least_revision:
+def _parse_header(raw: Mapping[str, Any], min_revision: int = 1) -> ResponseHeader:
+    header = _get_object(raw, "header")
+    revision = _get_integer(header, "revision")
+    if revision < min_revision:
         raise _malformed("header.revision: 1 or more is due")
     return ResponseHeader(
-        cluster_id=_integer(header, "cluster_id", MAX_UINT64),
-        member_id=_integer(header, "member_id", MAX_UINT64),
+        cluster_id=_get_integer(header, "cluster_id", MAX_UINT64),
+        member_id=_get_integer(header, "member_id", MAX_UINT64),
         revision=revision,
     )
 
 
-def _watch_event(raw: object, path: str) -> WatchEvent:
+def _parse_watch_event(raw: object, path: str) -> WatchEvent:
     if not isinstance(raw, dict):
         raise _malformed(f"{path}: an object is due")
     try:
         event_type = EventType(raw.get("type", EventType.PUT.value))
     except ValueError:
-        raise _malformed(f"{path}.type: PUT or DELETE is due, not {_shown(raw['type'])}") from None
-    return WatchEvent(event_type, _key_value(raw.get("kv"), f"{path}.kv"))
+        raise _malformed(f"{path}.type: PUT or DELETE is due, not {_quote(raw['type'])}") from None
+    return WatchEvent(event_type, _parse_key_value(raw.get("kv"), f"{path}.kv"))
 
 
-def _key_value(raw: object, path: str) -> KeyValue:
+def _parse_key_value(raw: object, path: str) -> KeyValue:
     if not isinstance(raw, dict):
         raise _malformed(f"{path}: an object is due")
     return KeyValue(
-        key=_bytes(raw, "key", path),
-        value=_bytes(raw, "value", path),
-        mod_revision=_integer(raw, "mod_revision"),
+        key=_get_bytes(raw, "key", path),
+        value=_get_bytes(raw, "value", path),
+        mod_revision=_get_integer(raw, "mod_revision"),
     )
 
 
-def _object(raw: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+def _get_object(raw: Mapping[str, Any], key: str) -> Mapping[str, Any]:
     value = raw.get(key)
     if not isinstance(value, dict):
         raise _malformed(f"{key}: an object is due")
     return value
 
 
-def _list(raw: Mapping[str, Any], key: str) -> list[Any]:
+def _get_list(raw: Mapping[str, Any], key: str) -> list[Any]:
     value = raw.get(key)
     if value is None:
         return []
@@ -317,41 +323,41 @@
     return value
 
 
-def _flag(raw: Mapping[str, Any], key: str) -> bool:
+def _get_bool(raw: Mapping[str, Any], key: str) -> bool:
     value = raw.get(key, False)
     if not isinstance(value, bool):
         raise _malformed(f"{key}: true or false is due")
     return value
 
 
-def _integer(raw: Mapping[str, Any], key: str, most: int = MAX_INT64) -> int:
+def _get_integer(raw: Mapping[str, Any], key: str, maximum: int = MAX_INT64) -> int:
     """An integer from 0 up, as a string or a number; 0 where it is left out."""
     value: object = raw.get(key, 0)
     if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) <= len(str(MAX_UINT64)):
         value = int(value)
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= most:
-        raise _malformed(f"{key}: an integer from 0 to {most} is due, not {_shown(value)}")
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= maximum:
+        raise _malformed(f"{key}: an integer from 0 to {maximum} is due, not {_quote(value)}")
     return value
 
 
-def _bytes(raw: Mapping[str, Any], key: str, path: str) -> bytes:
+def _get_bytes(raw: Mapping[str, Any], key: str, path: str) -> bytes:
     value = raw.get(key, "")
     try:
         return base64.b64decode(value, validate=True)
     except (TypeError, ValueError, binascii.Error):
-        raise _malformed(f"{path}.{key}: base64 is due, not {_shown(value)}") from None
+        raise _malformed(f"{path}.{key}: base64 is due, not {_quote(value)}") from None
 
 
 def _malformed(reason: str) -> GatewayError:
     return GatewayError(ErrorKind.MALFORMED, reason)
 
 
-def _shown(value: object) -> str:
+def _quote(value: object) -> str:
     """The begin of what a member sent, on one line; of what may be nested, its type alone."""
     if isinstance(value, bytes):
-        text = value[:SHOWN_CHARACTERS].decode("latin-1")
+        text = value[:MAX_QUOTED_CHARACTERS].decode("latin-1")
     elif isinstance(value, str | int | float):
-        text = str(value)[:SHOWN_CHARACTERS]
+        text = str(value)[:MAX_QUOTED_CHARACTERS]
     else:
         text = type(value).__name__
     return "".join(c if c.isprintable() else "?" for c in text)
@@ -360,13 +366,13 @@
 # ---- into JSON ----
 
 
-def _text(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return base64.b64encode(data).decode("ascii")
 
 
 def _compare(key: bytes, result: str, mod_revision: int) -> dict[str, Any]:
-    return {"key": _text(key), "target": "MOD", "result": result, "mod_revision": str(mod_revision)}
+    return {"key": _encode_base64(key), "target": "MOD", "result": result, "mod_revision": str(mod_revision)}
 
 
-def _dump(fields: Mapping[str, Any]) -> bytes:
+def _encode_json(fields: Mapping[str, Any]) -> bytes:
     return json.dumps(fields, separators=(",", ":")).encode()
--- a/irisstack/dynamic_settings/items.py
+++ b/irisstack/dynamic_settings/items.py
@@ -11,7 +11,7 @@
 
 MAX_HELD_BYTES = 2 * MAX_DOCUMENT_BYTES
 """Most bytes that are held of a document that is too large, so that a change can mend it."""
-SHOWN_CHARACTERS = 80
+MAX_QUOTED_CHARACTERS = 80
 """How much of a path is repeated in a reason."""
 
 
@@ -55,13 +55,13 @@
         self._size += size
         if self._size > MAX_HELD_BYTES:
             raise DocumentTooLargeError(f"the document: {MAX_DOCUMENT_BYTES} bytes at most are due")
-        self._items[item.key] = _read(item.value, size)
+        self._items[item.key] = _parse_value(item.value, size)
 
     def delete(self, key: bytes) -> None:
         """A key is gone, if it was there."""
-        gone = self._items.pop(key, None)
-        if gone is not None:
-            self._size -= gone.size
+        removed = self._items.pop(key, None)
+        if removed is not None:
+            self._size -= removed.size
 
     def apply(self, events: Iterable[WatchEvent]) -> None:
         """Take in all changes of one revision; raises `DocumentTooLargeError`."""
@@ -75,9 +75,9 @@
         """Why the items make no document, with the path first; empty if they do."""
         for key, item in self._items.items():
             if item.problem:
-                return f"{self._shown(key)}: {item.problem}"
-            if _path(key, self._prefix) is None:
-                return f"{self._shown(key)}: a path in UTF-8 is due"
+                return f"{self._quote_path(key)}: {item.problem}"
+            if _decode_path(key, self._prefix) is None:
+                return f"{self._quote_path(key)}: a path in UTF-8 is due"
         if self._size > MAX_DOCUMENT_BYTES:
             return f"the document: {MAX_DOCUMENT_BYTES} bytes at most are due, not {self._size}"
         return ""
@@ -86,12 +86,12 @@
         """The values by path, of items without a problem."""
         return {key[len(self._prefix) :].decode(): item.value for key, item in self._items.items()}
 
-    def _shown(self, key: bytes) -> str:
-        text = key[len(self._prefix) :].decode("utf-8", "replace")[:SHOWN_CHARACTERS]
+    def _quote_path(self, key: bytes) -> str:
+        text = key[len(self._prefix) :].decode("utf-8", "replace")[:MAX_QUOTED_CHARACTERS]
         return "".join(c if c.isprintable() else "?" for c in text)
 
 
-def _path(key: bytes, prefix: bytes) -> str | None:
+def _decode_path(key: bytes, prefix: bytes) -> str | None:
     """The key's path below the prefix; `None` if it has none."""
     try:
         return key[len(prefix) :].decode() or None
@@ -99,16 +99,16 @@
         return None
 
 
-def _read(data: bytes, size: int) -> Item:
+def _parse_value(data: bytes, size: int) -> Item:
     if len(data) > MAX_DOCUMENT_BYTES:
         return Item(None, size, f"{MAX_DOCUMENT_BYTES} bytes at most are due, not {len(data)}")
     try:
-        return Item(json.loads(data, parse_float=_finite, parse_constant=_no_constant), size)
+        return Item(json.loads(data, parse_float=_parse_finite_float, parse_constant=_reject_constant), size)
     except (ValueError, RecursionError):
         return Item(None, size, "JSON is due")
 
 
-def _finite(text: str) -> float:
+def _parse_finite_float(text: str) -> float:
     """A number that JSON can write again."""
     value = float(text)
     if not math.isfinite(value):
@@ -116,6 +116,6 @@
     return value
 
 
-def _no_constant(text: str) -> float:
+def _reject_constant(text: str) -> float:
     """NaN and the infinities are no JSON."""
     raise ValueError(text)
--- a/irisstack/dynamic_settings/members.py
+++ b/irisstack/dynamic_settings/members.py
@@ -19,28 +19,28 @@
     def __init__(self, names: Sequence[str], random: Random) -> None:
         self._order = list(names)
         random.shuffle(self._order)
-        self._next = 0
+        self._preferred = 0
         self._suspect_until: dict[str, float] = {}
 
     def pick(self, now: float) -> str:
         """The member to ask: the one preferred, or the first behind it that is not suspect."""
         for offset in range(len(self._order)):
-            at = (self._next + offset) % len(self._order)
-            if not self.is_suspect(self._order[at], now):
-                self._next = at
+            index = (self._preferred + offset) % len(self._order)
+            if not self.is_suspect(self._order[index], now):
+                self._preferred = index
                 break
-        return self._order[self._next]
+        return self._order[self._preferred]
 
     def pick_other(self, excluded: str, random: Random, now: float) -> str:
         """Any member but this one, best one that is not suspect; this one if it is alone."""
         others = [name for name in self._order if name != excluded]
-        good = [name for name in others if not self.is_suspect(name, now)]
-        return random.choice(good or others or [excluded])
+        trusted = [name for name in others if not self.is_suspect(name, now)]
+        return random.choice(trusted or others or [excluded])
 
     def pick_any(self, random: Random, now: float) -> str:
         """Any member, best one that is not suspect."""
-        good = [name for name in self._order if not self.is_suspect(name, now)]
-        return random.choice(good or self._order)
+        trusted = [name for name in self._order if not self.is_suspect(name, now)]
+        return random.choice(trusted or self._order)
 
     def is_suspect(self, name: str, now: float) -> bool:
         """Whether the member failed or lied a short while ago."""
@@ -48,7 +48,7 @@
 
     def prefer(self, name: str) -> None:
         """Ask this member from now on."""
-        self._next = self._order.index(name)
+        self._preferred = self._order.index(name)
 
     def record_success(self, name: str) -> None:
         """The member gave a good answer."""
@@ -57,5 +57,5 @@
     def record_failure(self, name: str, now: float, suspect_for: float = FAILURE_SUSPICION_S) -> None:
         """The member failed or lied; if it was the one preferred, the next in the order is."""
         self._suspect_until[name] = max(now + suspect_for, self._suspect_until.get(name, 0.0))
-        if self._order[self._next] == name:
-            self._next = (self._next + 1) % len(self._order)
+        if self._order[self._preferred] == name:
+            self._preferred = (self._preferred + 1) % len(self._order)
--- a/irisstack/dynamic_settings/merge.py
+++ b/irisstack/dynamic_settings/merge.py
@@ -131,12 +131,12 @@
     effect is refused as well.
     """
     check_no_restart_needed(in_force, proposed)
-    _check_names_stand(in_force, proposed)
+    _check_definitions_compatible(in_force, proposed)
     merged = replace(
         proposed,
-        classes=_positions(LANES, in_force.classes, proposed.classes),
-        kinds=_positions(KINDS, in_force.kinds, proposed.kinds),
-        tenants=_positions("tenants", in_force.tenants, proposed.tenants),
+        classes=_merge_by_name(LANES, in_force.classes, proposed.classes),
+        kinds=_merge_by_name(KINDS, in_force.kinds, proposed.kinds),
+        tenants=_merge_by_name("tenants", in_force.tenants, proposed.tenants),
         zones=tuple(dict.fromkeys((*in_force.zones, *proposed.zones))),
         zone=in_force.zone,
     )
@@ -146,10 +146,14 @@
 
 def retired_definitions(merged: Settings, proposed: Settings) -> dict[str, Any]:
     """Definitions of the classes and kinds that went, by path, as `document.compose` takes them."""
-    classes = {kind.name for kind in proposed.classes}
+    classes = {message_class.name for message_class in proposed.classes}
     kinds = {kind.name for kind in proposed.kinds}
     return {
-        **{f"{LANES}/{kind.name}": class_item(kind) for kind in merged.classes if kind.name not in classes},
+        **{
+            f"{LANES}/{message_class.name}": class_item(message_class)
+            for message_class in merged.classes
+            if message_class.name not in classes
+        },
         **{f"{KINDS}/{kind.name}": kind_item(kind) for kind in merged.kinds if kind.name not in kinds},
     }
 
@@ -158,21 +162,21 @@
     """Raise `SettingsError` for a change of what a running node cannot follow."""
     for field in fields(Settings):
         rule = FIELD_RULES[field.name]
-        if rule.policy is ChangePolicy.RESTART and _value(in_force, field.name) != _value(
+        if rule.policy is ChangePolicy.RESTART and _comparable(in_force, field.name) != _comparable(
             proposed, field.name
         ):
             raise SettingsError(f"{rule.path}: needs a restart to change: {rule.reason}")
 
 
-def _value(settings: Settings, field: str) -> Any:
+def _comparable(settings: Settings, field: str) -> Any:
     """A field; the own zone by its name, since its position may differ in a list that was written anew."""
     if field == "zone":
         return settings.zones[settings.zone] if settings.zones else None
     return getattr(settings, field)
 
 
-def _check_names_stand(in_force: Settings, proposed: Settings) -> None:
-    classes = {kind.name: kind for kind in in_force.classes}
+def _check_definitions_compatible(in_force: Settings, proposed: Settings) -> None:
+    classes = {message_class.name: message_class for message_class in in_force.classes}
     for new in proposed.classes:
         if (old := classes.get(new.name)) is not None:
             check_class_compatible(new, old)
@@ -182,7 +186,9 @@
             check_kind_compatible(kind, known)
 
 
-def _positions(path: str, in_force: tuple[Member, ...], proposed: tuple[Member, ...]) -> tuple[Member, ...]:
+def _merge_by_name(
+    path: str, in_force: tuple[Member, ...], proposed: tuple[Member, ...]
+) -> tuple[Member, ...]:
     """The members in force at their places, as proposed where proposed; then those that are new."""
     by_name = {member.name: member for member in proposed}
     known = {member.name for member in in_force}
--- a/irisstack/dynamic_settings/pages.py
+++ b/irisstack/dynamic_settings/pages.py
@@ -46,7 +46,7 @@
             raise GatewayError(ErrorKind.MALFORMED, "a page of another cluster than the first one's")
         last_key = b""
         for item in answer.items:
-            self._check(item, last_key)
+            self._validate_item(item, last_key)
             last_key = item.key
             self.items.put(item)
         if answer.more:
@@ -56,7 +56,7 @@
             return False
         return True
 
-    def _check(self, item: KeyValue, last_key: bytes) -> None:
+    def _validate_item(self, item: KeyValue, last_key: bytes) -> None:
         if not item.key.startswith(self._prefix) or item.key < self._next_key or item.key <= last_key:
             raise GatewayError(ErrorKind.MALFORMED, "a page with keys that were not asked for")
         if not 0 < item.mod_revision <= self.revision:
--- a/irisstack/dynamic_settings/snapshot.py
+++ b/irisstack/dynamic_settings/snapshot.py
@@ -21,7 +21,7 @@
 
 FILE_NAME = "settings.json"
 NEW_FILE_NAME = "settings.json.new"
-VERSION = 1
+FORMAT_VERSION = 1
 MAX_FILE_BYTES = 384 * 1024
 """A document of 128 KiB, as much again for what it has retired, and room for the file's own marks."""
 DISK_RESERVE_BYTES = 2 * MAX_FILE_BYTES
@@ -49,9 +49,9 @@
 class SavedSettingsFile:
     """The file in one folder. No trouble with it ever ends the node: it is one line of the log."""
 
-    def __init__(self, folder: Path) -> None:
-        self._path = folder / FILE_NAME
-        self._new_path = folder / NEW_FILE_NAME
+    def __init__(self, state_directory: Path) -> None:
+        self._path = state_directory / FILE_NAME
+        self._new_path = state_directory / NEW_FILE_NAME
         self._loaded = False
         self._saved: SavedSettings | None = None
 
@@ -104,9 +104,9 @@
 
 def _encode(settings: SavedSettings) -> bytes:
     # Not `asdict`: it copies each value of the document, which takes longer than all the rest.
-    body = _canonical({each.name: getattr(settings, each.name) for each in fields(settings)})
-    head = {"version": VERSION, "crc32": zlib.crc32(body)}
-    data = _canonical(head)[:-1] + b',"settings":' + body + b"}\n"
+    body = _canonical_json({entry.name: getattr(settings, entry.name) for entry in fields(settings)})
+    header = {"version": FORMAT_VERSION, "crc32": zlib.crc32(body)}
+    data = _canonical_json(header)[:-1] + b',"settings":' + body + b"}\n"
     if len(data) > MAX_FILE_BYTES:
         raise InvalidFileError(f"{MAX_FILE_BYTES} bytes at most are due, not {len(data)}")
     return data
@@ -121,18 +121,18 @@
         raise InvalidFileError("no JSON, perhaps torn") from None
     if not isinstance(raw, dict):
         raise InvalidFileError("an object is due")
-    if raw.get("version") != VERSION:
-        raise InvalidFileError(f"version {VERSION} is due, not {str(raw.get('version'))[:20]!r}")
+    if raw.get("version") != FORMAT_VERSION:
+        raise InvalidFileError(f"version {FORMAT_VERSION} is due, not {str(raw.get('version'))[:20]!r}")
     settings = raw.get("settings")
-    if not isinstance(settings, dict) or raw.get("crc32") != zlib.crc32(_canonical(settings)):
+    if not isinstance(settings, dict) or raw.get("crc32") != zlib.crc32(_canonical_json(settings)):
         raise InvalidFileError("the checksum does not fit")
     try:
-        return _settings(**settings)
+        return _validated_settings(**settings)
     except TypeError:
         raise InvalidFileError("cluster_id, revision, items and retired are due") from None
 
 
-def _settings(
+def _validated_settings(
     cluster_id: int, revision: int, items: dict[str, Any], retired: dict[str, Any]
 ) -> SavedSettings:
     """Raises `TypeError` for what has the wrong type."""
@@ -143,7 +143,7 @@
     return SavedSettings(cluster_id, revision, items, retired)
 
 
-def _canonical(value: object) -> bytes:
+def _canonical_json(value: object) -> bytes:
     """The canonical JSON text, which the checksum covers; raises `InvalidFileError` for other values."""
     try:
         text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -46,33 +46,38 @@
 
 def check_values(settings: Settings) -> None:
     """Raise `SettingsError` for the first value that is out of its range."""
-    for bound in RANGES:
-        _check(bound.path, getattr(settings, bound.field), bound.minimum, bound.exclusive)
+    for limit in RANGES:
+        _check_range(
+            limit.path,
+            getattr(settings, limit.field),
+            limit.minimum,
+            limit.exclusive,
+        )
     if settings.list_refresh_interval is not None:
-        _check("invariants.askWithin", settings.list_refresh_interval, 0, exclusive=True)
+        _check_range("invariants.askWithin", settings.list_refresh_interval, 0, exclusive=True)
     if not settings.kinds:
         raise SettingsError("kinds: at least one kind is due")
-    _check_names("lanes", (kind.name for kind in settings.classes))
+    _check_names("lanes", (message_class.name for message_class in settings.classes))
     _check_names("kinds", (kind.name for kind in settings.kinds))
     _check_names("tenants", (tenant.name for tenant in settings.tenants))
     _check_names("failureDomains", settings.zones)
-    for kind in settings.classes:
-        _check_class(kind)
+    for message_class in settings.classes:
+        _check_class(message_class)
     for tenant in settings.tenants:
-        _check(f"tenants/{tenant.name}.allowancePerS", tenant.rate, 0)
-        _check(f"tenants/{tenant.name}.share", tenant.share, 0)
+        _check_range(f"tenants/{tenant.name}.allowancePerS", tenant.rate, 0)
+        _check_range(f"tenants/{tenant.name}.share", tenant.share, 0)
 
 
-def _check_class(kind: MessageClass) -> None:
-    path = f"lanes/{kind.name}"
-    _check(f"{path}.slo", kind.latency_target, 0, exclusive=True)
-    _check(f"{path}.hardLimit", kind.deadline, kind.latency_target)
-    _check(f"{path}.importance", kind.worth, 0, exclusive=True)
-    _check(f"{path}.lateValue", kind.late_worth, 0)
-    _check(f"{path}.window", kind.dedup_window, 0)
+def _check_class(message_class: MessageClass) -> None:
+    path = f"lanes/{message_class.name}"
+    _check_range(f"{path}.slo", message_class.latency_target, 0, exclusive=True)
+    _check_range(f"{path}.hardLimit", message_class.deadline, message_class.latency_target)
+    _check_range(f"{path}.importance", message_class.worth, 0, exclusive=True)
+    _check_range(f"{path}.lateValue", message_class.late_worth, 0)
+    _check_range(f"{path}.window", message_class.dedup_window, 0)
 
 
-def _check(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
+def _check_range(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
     if value < minimum or (exclusive and value == minimum):
         raise SettingsError(
             f"{path}: {'above ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'} is due,"
--- a/tests/dynamic_settings/test_budget.py
+++ b/tests/dynamic_settings/test_budget.py
@@ -16,26 +16,26 @@
         max_size=60,
     )
 )
-def test_one_that_asks_first_never_spends_more_in_a_second_than_is_allowed(
+def test_spending_after_the_delay_never_exceeds_the_rate_in_any_second(
     steps: list[tuple[float, int]],
 ) -> None:
     now = 5.0
     budget = ByteBudget(RATE, now)
     spent: list[tuple[float, int]] = []
-    for rest, size in steps:
-        now += rest
+    for pause, size in steps:
+        now += pause
         now += budget.delay(now)
         assert budget.delay(now) == 0.0, "the wait that was asked for is enough"
         budget.spend(now, size)
         spent.append((now, size))
-    for first, (begun, _) in enumerate(spent):
+    for first, (started_at, _) in enumerate(spent):
         total = 0
-        for at, size in spent[first:]:
+        for spent_at, size in spent[first:]:
             total += size
-            assert total <= max(1.0, at - begun) * RATE + 1
+            assert total <= max(1.0, spent_at - started_at) * RATE + 1
 
 
-def test_a_debt_takes_as_long_as_its_bytes_at_the_rate() -> None:
+def test_a_debt_is_repaid_at_the_budgets_rate() -> None:
     budget = ByteBudget(RATE, 0.0)
     budget.spend(0.0, int(RATE * BURST_S))
     assert budget.delay(0.0) == 0.0
@@ -45,9 +45,9 @@
     assert budget.delay(2.001) == 0.0
 
 
-def test_a_clock_that_stands_still_or_goes_back_earns_nothing() -> None:
+def test_a_clock_that_stops_or_goes_back_earns_nothing() -> None:
     budget = ByteBudget(1000.0, 10.0)
     budget.spend(10.0, 5000)
-    owed = budget.delay(10.0)
-    assert budget.delay(3.0) == owed
-    assert budget.delay(10.0) == owed
+    debt_delay = budget.delay(10.0)
+    assert budget.delay(3.0) == debt_delay
+    assert budget.delay(10.0) == debt_delay
--- a/tests/dynamic_settings/test_etcd.py
+++ b/tests/dynamic_settings/test_etcd.py
@@ -13,7 +13,7 @@
 from irisstack.dynamic_settings.etcd import ErrorKind, EventType, GatewayError
 from tests.dynamic_settings.support import PREFIX, Change, encode_base64, frame_with_changes
 
-RANGE = {
+RANGE_RESPONSE = {
     "header": {"cluster_id": "14841639068965178418", "member_id": "10276657743932975437", "revision": "57"},
     "kvs": [
         {
@@ -30,7 +30,7 @@
 }
 
 
-def test_a_range_request_names_only_what_differs_from_the_defaults() -> None:
+def test_a_range_request_omits_default_values() -> None:
     assert json.loads(etcd.RangeRequest(b"a/", b"a0").body()) == {
         "key": encode_base64(b"a/"),
         "range_end": encode_base64(b"a0"),
@@ -66,38 +66,38 @@
     ("prefix", "end"),
     [(b"/s/", b"/s0"), (b"a\xff", b"b"), (b"\xff\xff", b"\0"), (b"", b"\0")],
 )
-def test_the_end_of_a_prefix(prefix: bytes, end: bytes) -> None:
+def test_prefix_range_end(prefix: bytes, end: bytes) -> None:
     assert etcd.prefix_range_end(prefix) == end
 
 
-def test_a_range_answer_is_read_and_unknown_fields_are_skipped() -> None:
-    answer = etcd.parse_range_response(200, json.dumps(RANGE).encode())
-    assert answer.header == etcd.ResponseHeader(14841639068965178418, 10276657743932975437, 57)
-    assert answer.items == (etcd.KeyValue(b"a", b"{}", 57), etcd.KeyValue(b"b", b"", 3))
-    assert answer.more
-    assert answer.count == 12
+def test_a_range_response_is_parsed_and_unknown_fields_are_ignored() -> None:
+    response = etcd.parse_range_response(200, json.dumps(RANGE_RESPONSE).encode())
+    assert response.header == etcd.ResponseHeader(14841639068965178418, 10276657743932975437, 57)
+    assert response.items == (etcd.KeyValue(b"a", b"{}", 57), etcd.KeyValue(b"b", b"", 3))
+    assert response.more
+    assert response.count == 12
 
 
-def test_fields_left_out_hold_their_defaults() -> None:
-    answer = etcd.parse_range_response(200, b'{"header": {"revision": "1"}}')
-    assert (answer.items, answer.more, answer.count) == ((), False, 0)
+def test_omitted_fields_have_their_defaults() -> None:
+    response = etcd.parse_range_response(200, b'{"header": {"revision": "1"}}')
+    assert (response.items, response.more, response.count) == ((), False, 0)
 
 
-def test_a_watch_frame_is_read() -> None:
+def test_a_watch_frame_is_parsed() -> None:
     frame = frame_with_changes([(5, [Change(b"a", b"1"), Change(b"b", None)])], 9)
-    answer = etcd.parse_watch_response(frame)
-    assert answer.header.revision == 9
-    assert [(e.type, e.item.key, e.item.value, e.item.mod_revision) for e in answer.events] == [
+    response = etcd.parse_watch_response(frame)
+    assert response.header.revision == 9
+    assert [(e.type, e.item.key, e.item.value, e.item.mod_revision) for e in response.events] == [
         (EventType.PUT, b"a", b"1", 5),
         (EventType.DELETE, b"b", b"", 5),
     ]
 
 
-def test_a_canceled_watch_tells_the_compaction() -> None:
-    told = {"cluster_id": "1", "member_id": "2", "raft_term": "2"}  # without a revision, as in etcd
-    result = {"header": told, "canceled": True, "compact_revision": "7", "cancel_reason": "old\nnews"}
-    answer = etcd.parse_watch_response(json.dumps({"result": result}).encode())
-    assert (answer.canceled, answer.compact_revision, answer.cancel_reason) == (True, 7, "old?news")
+def test_a_canceled_watch_reports_the_compact_revision() -> None:
+    header = {"cluster_id": "1", "member_id": "2", "raft_term": "2"}  # without a revision, as in etcd
+    result = {"header": header, "canceled": True, "compact_revision": "7", "cancel_reason": "old\nnews"}
+    response = etcd.parse_watch_response(json.dumps({"result": result}).encode())
+    assert (response.canceled, response.compact_revision, response.cancel_reason) == (True, 7, "old?news")
 
 
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
@@ -129,23 +129,23 @@
 
 
 @pytest.mark.parametrize(("status", "raw", "kind", "reason"), ERRORS.values(), ids=ERRORS)
-def test_a_refusal_is_one_clear_line(status: int, raw: Any, kind: ErrorKind, reason: str) -> None:
+def test_an_error_response_becomes_one_line(status: int, raw: Any, kind: ErrorKind, reason: str) -> None:
     with pytest.raises(GatewayError) as caught:
         etcd.parse_range_response(status, json.dumps(raw).encode())
     assert (caught.value.kind, str(caught.value)) == (kind, reason)
 
 
-def test_an_error_within_a_stream() -> None:
+def test_an_error_in_a_watch_stream_is_raised() -> None:
     raw = {"error": {"grpc_code": 14, "http_code": 503, "message": "etcdserver: no leader"}}
     with pytest.raises(GatewayError, match=r"^etcdserver: no leader$"):
         etcd.parse_watch_response(json.dumps(raw).encode())
 
 
-def test_a_watch_refused_by_a_proxy_without_json() -> None:
+def test_a_watch_error_without_json_reports_the_status() -> None:
     assert str(etcd.parse_watch_error(502, b"<html>")) == "status 502"
 
 
-BAD_ANSWERS = {
+BAD_RESPONSES = {
     "torn": b'{"header": {"rev',
     "no object": b"[]",
     "not UTF-8": b'{"header": "\xff"}',
@@ -168,8 +168,8 @@
 }
 
 
-@pytest.mark.parametrize("body", BAD_ANSWERS.values(), ids=BAD_ANSWERS)
-def test_a_malformed_answer_is_named_in_one_line(body: bytes) -> None:
+@pytest.mark.parametrize("body", BAD_RESPONSES.values(), ids=BAD_RESPONSES)
+def test_a_malformed_response_is_reported_in_one_line(body: bytes) -> None:
     with pytest.raises(GatewayError) as caught:
         etcd.parse_range_response(200, body)
     assert caught.value.kind is ErrorKind.MALFORMED
@@ -181,7 +181,7 @@
     "events",
     ['{"a": 1}', "[1]", "[{}]", '[{"type": "MOVE", "kv": {}}]', '[{"type": [], "kv": {}}]', '[{"kv": []}]'],
 )
-def test_a_malformed_frame_is_named(events: str) -> None:
+def test_a_malformed_frame_is_reported(events: str) -> None:
     frame = f'{{"result": {{"header": {{"revision": "2"}}, "events": {events}}}}}'
     with pytest.raises(GatewayError) as caught:
         etcd.parse_watch_response(frame.encode())
@@ -207,7 +207,7 @@
 )
 
 
-def refusal_of(read: Callable[[bytes], object], body: bytes) -> str:
+def error_text(read: Callable[[bytes], object], body: bytes) -> str:
     """The text of the gateway's error, empty if there is none; any other error fails the test."""
     try:
         read(body)
@@ -216,39 +216,39 @@
     return ""
 
 
-def spoilt(raw: Any, data: st.DataObject) -> Any:
+def corrupted(raw: Any, data: st.DataObject) -> Any:
     """The value with one part of it replaced."""
     if isinstance(raw, dict) and raw and data.draw(st.booleans()):
         key = data.draw(st.sampled_from(sorted(raw)))
-        return {**raw, key: spoilt(raw[key], data)}
+        return {**raw, key: corrupted(raw[key], data)}
     if isinstance(raw, list) and raw and data.draw(st.booleans()):
-        return [spoilt(raw[0], data), *raw[1:]]
+        return [corrupted(raw[0], data), *raw[1:]]
     fields = st.dictionaries(st.sampled_from(FIELDS + FRAME_FIELDS), JSON_VALUES, max_size=3)
     return data.draw(JSON_VALUES | fields)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
-def test_whatever_comes_is_a_message_or_a_gateway_error(data: st.DataObject) -> None:
+def test_corrupted_json_yields_a_message_or_a_gateway_error(data: st.DataObject) -> None:
     frame = json.loads(frame_with_changes([(5, [Change(PREFIX + b"a", b"1"), Change(PREFIX, None)])], 9))
     for read, raw in (
         (etcd.parse_watch_response, frame),
-        (lambda b: etcd.parse_range_response(200, b), RANGE),
+        (lambda b: etcd.parse_range_response(200, b), RANGE_RESPONSE),
     ):
-        body = json.dumps(spoilt(raw, data)).encode()
+        body = json.dumps(corrupted(raw, data)).encode()
         body = body[: data.draw(st.integers(0, len(body)))] if data.draw(st.booleans()) else body
-        assert refusal_of(read, body).isprintable()
+        assert error_text(read, body).isprintable()
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200), st.integers(0, 999))
-def test_whatever_bytes_come_are_a_message_or_a_gateway_error(body: bytes, status: int) -> None:
+def test_arbitrary_bytes_yield_a_message_or_a_gateway_error(body: bytes, status: int) -> None:
     etcd.parse_watch_error(status, body)
     for read in (lambda b: etcd.parse_range_response(status, b), etcd.parse_watch_response):
-        assert refusal_of(read, body).isprintable()
+        assert error_text(read, body).isprintable()
 
 
-def test_base64_of_the_gateway_is_the_standard_one() -> None:
+def test_keys_use_the_standard_base64_alphabet() -> None:
     key = bytes(range(256))
     body = json.loads(etcd.RangeRequest(key, b"").body())
     assert base64.standard_b64decode(body["key"]) == key
--- a/tests/dynamic_settings/test_members.py
+++ b/tests/dynamic_settings/test_members.py
@@ -8,12 +8,12 @@
 NAMES = [f"10.0.0.{i}:2379" for i in range(7)]
 
 
-def test_a_member_that_works_is_kept() -> None:
+def test_a_working_member_is_kept() -> None:
     members = Members(NAMES, Random(1))
     assert {members.pick(now) for now in range(50)} == {members.pick(0.0)}
 
 
-def test_each_has_its_turn_while_all_fail() -> None:
+def test_members_take_turns_while_all_fail() -> None:
     members = Members(NAMES, Random(1))
     asked = []
     for _ in range(14):
@@ -22,7 +22,7 @@
     assert Counter(asked) == dict.fromkeys(NAMES, 2)
 
 
-def test_one_that_failed_is_passed_over_for_a_while() -> None:
+def test_a_failed_member_is_avoided_for_a_while() -> None:
     members = Members(NAMES[:2], Random(1))
     first = members.pick(0.0)
     members.record_failure(first, 0.0)
@@ -33,30 +33,30 @@
     assert members.pick(FAILURE_SUSPICION_S + 0.1) == first
 
 
-def test_a_short_failure_does_not_shorten_a_lie() -> None:
+def test_a_failure_does_not_shorten_the_suspicion_after_a_contradiction() -> None:
     members = Members(NAMES, Random(1))
-    liar = members.pick(0.0)
-    members.record_failure(liar, 0.0, CONTRADICTION_SUSPICION_S)
-    members.record_failure(liar, 1.0)
-    assert members.is_suspect(liar, CONTRADICTION_SUSPICION_S - 1.0)
-    assert not members.is_suspect(liar, CONTRADICTION_SUSPICION_S)
+    contradicting = members.pick(0.0)
+    members.record_failure(contradicting, 0.0, CONTRADICTION_SUSPICION_S)
+    members.record_failure(contradicting, 1.0)
+    assert members.is_suspect(contradicting, CONTRADICTION_SUSPICION_S - 1.0)
+    assert not members.is_suspect(contradicting, CONTRADICTION_SUSPICION_S)
 
 
-def test_a_good_answer_ends_the_suspicion() -> None:
+def test_a_success_ends_the_suspicion() -> None:
     members = Members(NAMES, Random(1))
     members.record_failure(NAMES[0], 0.0)
     members.record_success(NAMES[0])
     assert not members.is_suspect(NAMES[0], 0.0)
 
 
-def test_another_member_is_never_the_same_but_where_it_is_alone() -> None:
+def test_pick_other_returns_the_excluded_member_only_if_it_is_the_only_one() -> None:
     random = Random(1)
     members = Members(NAMES[:2], random)
     assert {members.pick_other(NAMES[0], random, 0.0) for _ in range(20)} == {NAMES[1]}
     assert Members(NAMES[:1], random).pick_other(NAMES[0], random, 0.0) == NAMES[0]
 
 
-def test_any_member_is_one_that_is_not_suspect_while_there_is_one() -> None:
+def test_pick_any_avoids_suspect_members_if_possible() -> None:
     random = Random(1)
     members = Members(NAMES[:3], random)
     members.record_failure(NAMES[0], 0.0)
@@ -66,7 +66,7 @@
     assert {members.pick_any(random, 0.0) for _ in range(60)} == set(NAMES[:3])
 
 
-def test_seeds_spread_a_fleet_over_the_members() -> None:
+def test_different_seeds_spread_a_fleet_over_the_members() -> None:
     shares = Counter(Members(NAMES, Random(seed)).pick(0.0) for seed in range(840))
     assert len(shares) == 7
     assert max(shares.values()) < 160
--- a/tests/dynamic_settings/test_merge.py
+++ b/tests/dynamic_settings/test_merge.py
@@ -8,7 +8,7 @@
 import pytest
 
 from irisstack import interface as api
-from irisstack.dynamic_settings import merge as merging
+from irisstack.dynamic_settings import merge as merge_module
 from irisstack.dynamic_settings.document import compose
 from irisstack.dynamic_settings.merge import FIELD_RULES, ChangePolicy, merge, retired_definitions
 from irisstack.settings import Reader, SettingsError, read
@@ -21,25 +21,25 @@
 )
 
 
-def refused(**changes: Any) -> str:
+def refusal_reason(**changes: Any) -> str:
     with pytest.raises(SettingsError) as caught:
         merge(IN_FORCE, replace(IN_FORCE, **changes))
     assert "\n" not in str(caught.value)
     return str(caught.value)
 
 
-def test_the_same_settings_are_taken_unchanged() -> None:
+def test_equal_settings_are_merged_unchanged() -> None:
     assert merge(IN_FORCE, IN_FORCE) == IN_FORCE
 
 
-def test_each_keeps_its_position_by_name_and_what_went_stays_at_its_own() -> None:
+def test_classes_keep_their_positions_by_name_and_removed_ones_keep_theirs() -> None:
     new = replace(SAFE, name="new")
     later = replace(KEYED, latency_target=3.0)
     merged = merge(IN_FORCE, replace(IN_FORCE, classes=(new, ORDERED, later)))
     assert merged.classes == (SAFE, later, UNSAFE, ORDERED, new)
 
 
-def test_kinds_tenants_and_zones_likewise() -> None:
+def test_kinds_tenants_and_zones_keep_their_positions() -> None:
     shared = replace(IN_FORCE.kinds[1], max_batch=9)
     merged = merge(
         IN_FORCE,
@@ -59,11 +59,11 @@
     assert merged.zone == 0, "the own zone is the same by name"
 
 
-def test_what_went_and_came_back_is_at_its_old_position() -> None:
+def test_a_class_that_returns_takes_its_old_position() -> None:
     without = merge(IN_FORCE, replace(IN_FORCE, classes=(SAFE, UNSAFE)))
-    again = merge(without, replace(IN_FORCE, classes=(replace(KEYED, worth=5.0), SAFE)))
-    assert [kind.name for kind in again.classes] == [kind.name for kind in CLASSES]
-    assert again.classes[1].worth == 5.0
+    merged = merge(without, replace(IN_FORCE, classes=(replace(KEYED, worth=5.0), SAFE)))
+    assert [kind.name for kind in merged.classes] == [kind.name for kind in CLASSES]
+    assert merged.classes[1].worth == 5.0
 
 
 @pytest.mark.parametrize(
@@ -76,19 +76,19 @@
         replace(KEYED, ordered=True),
     ],
 )
-def test_what_a_repeat_does_cannot_change_under_a_name(other: api.MessageClass) -> None:
-    assert refused(classes=(SAFE, other)).startswith("lanes/keyed.")
+def test_retry_safety_cannot_change_under_one_name(other: api.MessageClass) -> None:
+    assert refusal_reason(classes=(SAFE, other)).startswith("lanes/keyed.")
     without = merge(IN_FORCE, replace(IN_FORCE, classes=(SAFE,)))
     with pytest.raises(SettingsError, match=r"^lanes/keyed\."):
         merge(without, replace(IN_FORCE, classes=(SAFE, other)))
 
 
-def test_whether_routes_are_apart_cannot_change_under_a_name() -> None:
-    apart = replace(IN_FORCE.kinds[0], separate_routes=True)
-    assert refused(kinds=(apart,)).startswith("kinds/plain.separateRoutes: ")
+def test_separate_routes_cannot_change_under_one_name() -> None:
+    separate = replace(IN_FORCE.kinds[0], separate_routes=True)
+    assert refusal_reason(kinds=(separate,)).startswith("kinds/plain.separateRoutes: ")
     without = merge(IN_FORCE, replace(IN_FORCE, kinds=(IN_FORCE.kinds[1],)))
     with pytest.raises(SettingsError, match=r"^kinds/plain\."):
-        merge(without, replace(IN_FORCE, kinds=(apart,)))
+        merge(without, replace(IN_FORCE, kinds=(separate,)))
 
 
 def test_every_field_has_a_rule_with_a_reason() -> None:
@@ -96,7 +96,7 @@
     assert all(rule.path and rule.reason for rule in FIELD_RULES.values())
 
 
-OTHERS: dict[str, Any] = {
+OTHER_VALUES: dict[str, Any] = {
     "zone": 1,
     "decay": api.Decay.HALVING,
     "report_fields": ("x9",),
@@ -108,8 +108,8 @@
 def other_value(field: str) -> Any:
     """A value that differs from the one in force."""
     value = getattr(IN_FORCE, field)
-    if field in OTHERS:
-        return OTHERS[field]
+    if field in OTHER_VALUES:
+        return OTHER_VALUES[field]
     if isinstance(value, bool):
         return not value
     if isinstance(value, tuple):
@@ -118,29 +118,29 @@
 
 
 @pytest.mark.parametrize("field", FIELD_RULES)
-def test_a_change_of_each_field_is_taken_or_refused_as_its_rule_says(field: str) -> None:
+def test_a_change_of_each_field_is_accepted_or_refused_by_its_rule(field: str) -> None:
     rule = FIELD_RULES[field]
     if rule.policy is ChangePolicy.RESTART:
-        assert refused(**{field: other_value(field)}).startswith(f"{rule.path}: needs a restart")
+        assert refusal_reason(**{field: other_value(field)}).startswith(f"{rule.path}: needs a restart")
     else:
         changed = other_value(field)
         assert getattr(merge(IN_FORCE, replace(IN_FORCE, **{field: changed})), field) == changed
 
 
-def test_the_operators_page_names_what_needs_a_restart() -> None:
+def test_the_operators_page_lists_the_settings_that_need_a_restart() -> None:
     page = (Path(__file__).resolve().parents[2] / "docs" / "operate" / "dynamic-settings.md").read_text()
     (line,) = [line for line in page.splitlines() if "they need a restart" in line]
     paths = {rule.path for rule in FIELD_RULES.values() if rule.policy is ChangePolicy.RESTART}
     assert set(re.findall(r"`([^`]+)`", line)) == paths
 
 
-def test_own_zone_that_the_list_no_longer_names_is_refused() -> None:
-    assert refused(zones=("there",)).startswith("az: ")
-    assert refused(zones=()).startswith("az: ")
+def test_a_list_without_the_nodes_own_zone_is_refused() -> None:
+    assert refusal_reason(zones=("there",)).startswith("az: ")
+    assert refusal_reason(zones=()).startswith("az: ")
 
 
-def test_positions_are_bounded_with_those_that_went(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(merging, "MAX_POSITIONS", 6)
+def test_the_number_of_positions_is_bounded_including_removed_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(merge_module, "MAX_POSITIONS", 6)
     settings = IN_FORCE
     for number in range(2):
         settings = merge(settings, replace(IN_FORCE, classes=(SAFE, replace(SAFE, name=f"c{number}"))))
@@ -149,16 +149,16 @@
     merge(settings, replace(IN_FORCE, classes=(replace(SAFE, name="c1"),)))
 
 
-def test_definitions_of_what_went_bring_it_back() -> None:
+def test_retired_definitions_restore_what_was_removed() -> None:
     proposed = replace(IN_FORCE, classes=(SAFE,), kinds=(IN_FORCE.kinds[0],))
-    gone = retired_definitions(merge(IN_FORCE, proposed), proposed)
-    assert gone.keys() == {"lanes/keyed", "lanes/unsafe", "lanes/ordered", "kinds/shared"}
+    retired = retired_definitions(merge(IN_FORCE, proposed), proposed)
+    assert retired.keys() == {"lanes/keyed", "lanes/unsafe", "lanes/ordered", "kinds/shared"}
     items = {"lanes/safe": {"repeat": "read_like", "slo": 1.0, "hardLimit": 2.0}, "kinds/plain": {}}
     base = {
         "allowed": {"attemptsCap": 1, "mostHeld": 1, "cancel": False, "mayDuplicate": False}
         | {"mayProbe": False, "mayTell": False, "retryAfter": False},
         "extra": {"maxCalls": 1},
     }
-    restored = read(Reader(compose(base, items, gone)))
+    restored = read(Reader(compose(base, items, retired)))
     assert set(restored.classes[1:]) == {KEYED, UNSAFE, ORDERED}
     assert restored.kinds[1] == IN_FORCE.kinds[1]
--- a/tests/dynamic_settings/test_snapshot.py
+++ b/tests/dynamic_settings/test_snapshot.py
@@ -21,19 +21,19 @@
 )
 
 
-def logged_on_load(folder: Path) -> list[str]:
+def events_logged_on_load(state_directory: Path) -> list[str]:
     with capture_logs() as logs:
-        assert SavedSettingsFile(folder).load() is None
+        assert SavedSettingsFile(state_directory).load() is None
     return [entry["event"] for entry in logs]
 
 
-def test_what_is_saved_is_loaded(tmp_path: Path) -> None:
+def test_saved_settings_are_loaded(tmp_path: Path) -> None:
     assert SavedSettingsFile(tmp_path).save(SAVED)
     assert SavedSettingsFile(tmp_path).load() == SAVED
 
 
-def test_no_file_is_no_news(tmp_path: Path) -> None:
-    assert logged_on_load(tmp_path) == []
+def test_a_missing_file_logs_nothing(tmp_path: Path) -> None:
+    assert events_logged_on_load(tmp_path) == []
 
 
 def test_the_file_is_json_with_version_and_checksum(tmp_path: Path) -> None:
@@ -44,20 +44,20 @@
     assert raw["settings"]["revision"] == 57
 
 
-def test_a_file_torn_anywhere_is_one_line_and_no_settings(tmp_path: Path) -> None:
+def test_a_file_truncated_anywhere_is_logged_once_and_not_used(tmp_path: Path) -> None:
     SavedSettingsFile(tmp_path).save(SAVED)
     path = tmp_path / "settings.json"
     whole = path.read_bytes()
     for size in range(len(whole) - 1):  # without the last byte, a line's end, it is still whole
         path.write_bytes(whole[:size])
-        assert logged_on_load(tmp_path) == ["settings_file_unread"], size
+        assert events_logged_on_load(tmp_path) == ["settings_file_unread"], size
 
 
-def test_a_file_with_one_digit_changed_is_one_line_and_no_settings(tmp_path: Path) -> None:
+def test_a_file_with_one_digit_changed_is_logged_once_and_not_used(tmp_path: Path) -> None:
     SavedSettingsFile(tmp_path).save(SAVED)
     path = tmp_path / "settings.json"
     path.write_bytes(path.read_bytes().replace(b"840", b"841"))
-    assert logged_on_load(tmp_path) == ["settings_file_unread"]
+    assert events_logged_on_load(tmp_path) == ["settings_file_unread"]
 
 
 BAD_FILES = {
@@ -74,9 +74,9 @@
 
 
 @pytest.mark.parametrize("data", BAD_FILES.values(), ids=BAD_FILES)
-def test_a_file_that_cannot_be_used_is_one_line_and_no_settings(tmp_path: Path, data: bytes) -> None:
+def test_an_invalid_file_is_logged_once_and_not_used(tmp_path: Path, data: bytes) -> None:
     (tmp_path / "settings.json").write_bytes(data)
-    assert logged_on_load(tmp_path) == ["settings_file_unread"]
+    assert events_logged_on_load(tmp_path) == ["settings_file_unread"]
 
 
 @pytest.mark.parametrize(
@@ -89,19 +89,21 @@
         {"cluster_id": 1, "revision": 1, "items": {}, "retired": {}, "more": 1},
     ],
 )
-def test_settings_with_a_good_checksum_and_the_wrong_fields(tmp_path: Path, settings: object) -> None:
+def test_settings_with_a_valid_checksum_and_wrong_fields_are_not_used(
+    tmp_path: Path, settings: object
+) -> None:
     text = json.dumps(settings, sort_keys=True, separators=(",", ":"))
     data = {"version": 1, "crc32": zlib.crc32(text.encode()), "settings": settings}
     (tmp_path / "settings.json").write_text(json.dumps(data))
-    assert logged_on_load(tmp_path) == ["settings_file_unread"]
+    assert events_logged_on_load(tmp_path) == ["settings_file_unread"]
 
 
-def test_a_folder_in_the_files_place_is_one_line(tmp_path: Path) -> None:
+def test_a_directory_in_place_of_the_file_is_logged_once(tmp_path: Path) -> None:
     (tmp_path / "settings.json").mkdir()
-    assert logged_on_load(tmp_path) == ["settings_file_unread"]
+    assert events_logged_on_load(tmp_path) == ["settings_file_unread"]
 
 
-def test_a_trouble_is_said_once_however_often_the_file_is_asked_for(tmp_path: Path) -> None:
+def test_an_error_is_logged_once_however_often_the_file_is_loaded(tmp_path: Path) -> None:
     (tmp_path / "settings.json").write_bytes(b"{")
     file = SavedSettingsFile(tmp_path)
     with capture_logs() as logs:
@@ -110,7 +112,7 @@
     assert len(logs) == 1
 
 
-def test_a_full_disk_leaves_the_old_file(tmp_path: Path) -> None:
+def test_a_full_disk_keeps_the_old_file(tmp_path: Path) -> None:
     SavedSettingsFile(tmp_path).save(SAVED)
     os.symlink("/dev/full", tmp_path / "settings.json.new")
     with capture_logs() as logs:
@@ -120,20 +122,20 @@
     assert not (tmp_path / "settings.json.new").is_symlink()
 
 
-def test_a_folder_that_is_gone_is_one_line(tmp_path: Path) -> None:
+def test_a_missing_state_directory_is_logged_once(tmp_path: Path) -> None:
     with capture_logs() as logs:
         assert not SavedSettingsFile(tmp_path / "gone").save(SAVED)
     assert [entry["event"] for entry in logs] == ["settings_not_saved"]
 
 
-def test_what_an_interrupted_write_left_is_not_read(tmp_path: Path) -> None:
+def test_the_remains_of_an_interrupted_write_are_not_read(tmp_path: Path) -> None:
     SavedSettingsFile(tmp_path).save(SAVED)
     (tmp_path / "settings.json.new").write_bytes(b'{"version": 1, "cr')
     assert SavedSettingsFile(tmp_path).load() == SAVED
     assert SavedSettingsFile(tmp_path).save(SAVED)
 
 
-def test_a_document_of_the_largest_size_fits_and_a_larger_file_is_not_written(tmp_path: Path) -> None:
+def test_the_largest_document_fits_and_a_larger_file_is_not_written(tmp_path: Path) -> None:
     file = SavedSettingsFile(tmp_path)
     largest = SavedSettings(1, 2, {"a": "x" * MAX_DOCUMENT_BYTES}, {})
     assert file.save(largest)
@@ -144,7 +146,7 @@
     assert SavedSettingsFile(tmp_path).load() == largest
 
 
-def test_the_store_of_messages_leaves_the_file_alone(tmp_path: Path) -> None:
+def test_the_message_store_does_not_touch_the_file(tmp_path: Path) -> None:
     SavedSettingsFile(tmp_path).save(SAVED)
     store = Store(tmp_path, 3_000_000, 1000.0)
     store.close()
