--- a/irisstack/dynamic_settings/__init__.py
+++ b/irisstack/dynamic_settings/__init__.py
@@ -1,6 +1,6 @@
-"""Dynamic settings: the platform's settings followed from an etcd cluster while the node runs.
+"""Dynamic settings: a running node follows the platform's settings in an etcd cluster.
 
-`etcd` translates bytes to messages and back, `decisions` decides what to ask of which member and what to
-take, `snapshot` keeps the last good state in the lasting folder. The sockets are in
+`etcd` encodes and parses the gateway's messages, `decisions` decides which member to call and which revisions
+to propose, `snapshot` saves the accepted settings in the state directory. The sockets are in
 `irisstack.node.settings_watch`.
 """
--- a/irisstack/dynamic_settings/accepted.py
+++ b/irisstack/dynamic_settings/accepted.py
@@ -1,4 +1,4 @@
-"""Settings that passed every check and may be taken as a whole."""
+"""Settings that have passed every check and can be put in force as a whole."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True, frozen=True)
 class AcceptedSettings:
-    """What a node is to run by, and what of it is only kept for messages that are owed."""
+    """The settings that a node will run with, and which parts are kept only for pending messages."""
 
     settings: Settings
-    """With the positions of the settings before them: what went is still at its place."""
+    """Positions are those of the previous settings; removed definitions keep theirs."""
     classes: frozenset[str]
-    """The names of the classes in which new messages are taken on."""
+    """Names of the classes in which new messages are accepted."""
     tenants: frozenset[str]
-    """The names of the tenants for whom new messages are taken on."""
+    """Names of the tenants whose new messages are accepted."""
     retired: Mapping[str, Any]
-    """Definitions of what went, by the path (`lanes/NAME`, `kinds/NAME`) at which an item would set it."""
+    """Definitions of removed classes and kinds, by the path of their item (`lanes/NAME`, `kinds/NAME`)."""
--- a/irisstack/dynamic_settings/budget.py
+++ b/irisstack/dynamic_settings/budget.py
@@ -1,35 +1,35 @@
-"""How many bytes a second the node may spend on following the settings."""
+"""The limit of bytes a second that the node may use to follow the settings."""
 
 READ_CHUNK_BYTES = 256
 """Most bytes to read from a connection at once, so that a debt stays small."""
 BURST_S = 0.02
-"""A budget that has rested holds what so many seconds bring: a timer which fires late loses nothing."""
+"""Seconds of bytes that an idle budget can hold, so that a timer that fires late loses none."""
 ROUNDING_TOLERANCE_BYTES = 0.5
-"""A debt below this counts as none: times are floats."""
+"""Bytes; a smaller debt counts as none, because times are floats."""
 
 
 class ByteBudget:
-    """A token bucket that may go into debt: what was spent has to be earned before more is spent.
+    """A token bucket that may go into debt; the debt has to be earned back before more is spent.
 
-    It earns a burst and a piece less than `bytes_per_s`, so that one who asks `delay` before each piece
-    spends no more than `bytes_per_s` in any second. Bytes are those of HTTP, both ways, without the heads of
-    TCP and IP.
+    The rate is `bytes_per_s` less one burst and one chunk, so that a caller that waits for `delay` before
+    each chunk uses no more than `bytes_per_s` in any second. Counted are the bytes of HTTP in both
+    directions, without TCP and IP headers.
     """
 
     def __init__(self, bytes_per_s: float, now: float) -> None:
         self._max_balance = BURST_S * bytes_per_s
         self.rate = bytes_per_s - self._max_balance - READ_CHUNK_BYTES
-        """Bytes earned in a second."""
+        """Bytes earned per second."""
         self._balance = self._max_balance
         self._updated_at = now
 
     def spend(self, now: float, size: int) -> None:
-        """Bytes were sent or received."""
+        """Record bytes that were sent or received."""
         self._refill(now)
         self._balance -= size
 
     def delay(self, now: float) -> float:
-        """Seconds until more may be spent, 0 if that is now."""
+        """Seconds until more may be spent; 0 if it may be now."""
         self._refill(now)
         if self._balance >= -ROUNDING_TOLERANCE_BYTES:
             return 0.0
--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -1,10 +1,10 @@
-"""The settings document that a stream's items make together with a node's own file.
+"""Composes the settings document from the items in etcd and the settings in the node's own file.
 
-Pure. An item is a path below the stream's prefix with a JSON value. `lanes/NAME`, `tenants/NAME` and
-`kinds/NAME` define one member of a list; if the stream defines any member, the whole list is the stream's.
-Every other path names a place in the settings object of the node's file, over which the value is laid:
-objects key by key, any other value whole. Errors are `SettingsError` and begin with the path of the item at
-fault.
+Pure functions. An item is a path below the watched prefix with a JSON value. `lanes/NAME` (message classes),
+`tenants/NAME` and `kinds/NAME` define one member of a list; if there is any item for a list, the items
+replace the file's whole list. Every other path names a place in the settings object of the file, which the
+value overrides: objects are merged key by key, other values replaced. Errors are `SettingsError` and begin
+with the path of the invalid item.
 """
 
 import json
@@ -35,18 +35,18 @@
         "weights",
     }
 )
-"""First parts of paths at which a value is laid over the file's."""
+"""First parts of paths at which a value overrides the file's."""
 PER_KIND_LISTS = ("batchByKind", "separateRoutes")
-"""Lists under `extra` that run parallel to the kinds, which are set one by one."""
+"""Lists under `extra` that are parallel to the list of kinds; items set them with each kind."""
 
 
 def compose(
     base: Mapping[str, Any], items: Mapping[str, Any], retired: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
-    """The settings document of a node: its file's settings with the items laid over them.
+    """The settings document of a node: the settings of its file, overridden by the items.
 
-    `retired` holds definitions, by path, of classes and kinds that went and are still needed; they follow the
-    others in their lists. A document that defines one of these otherwise is refused.
+    `retired` holds definitions, by path, of removed classes and kinds that are still needed; they come last
+    in their lists. Items that define one of these in an incompatible way are refused.
     """
     check_size(items)
     _check_paths(items)
@@ -65,7 +65,7 @@
 
 
 def class_item(definition: MessageClass) -> dict[str, Any]:
-    """A class as the settings list writes it."""
+    """A message class in the form of the settings file."""
     effects = {effect: name for name, effect in EFFECTS.items()}
     scopes = {scope: name for name, scope in DEDUP_SCOPES.items()}
     return {
@@ -82,39 +82,39 @@
 
 
 def kind_item(kind: DestinationKind) -> dict[str, Any]:
-    """A kind as the item at `kinds/NAME` writes it."""
+    """A destination kind in the form of the item at `kinds/NAME`."""
     return {"maxBatch": kind.max_batch, "separateRoutes": kind.separate_routes}
 
 
 # ---- checks of the items ----
 
 
-def check_size(items: Mapping[str, Any], what: str = "the document") -> None:
-    """Refuse items that are no JSON, or hold more together than a document may."""
+def check_size(items: Mapping[str, Any], subject: str = "the document") -> None:
+    """Refuse items that are not JSON or exceed the size of a document; errors begin with `subject`."""
     size = sum(item_size(len(path.encode()), len(_encode_json(path, value))) for path, value in items.items())
     if size > MAX_DOCUMENT_BYTES:
-        raise SettingsError(f"{what}: {MAX_DOCUMENT_BYTES} bytes at most are due, not {size}")
+        raise SettingsError(f"{subject}: expected at most {MAX_DOCUMENT_BYTES} bytes, got {size}")
 
 
 def _encode_json(path: str, value: Any) -> bytes:
     try:
         return json.dumps(value, separators=(",", ":"), allow_nan=False).encode()
     except (TypeError, ValueError, RecursionError) as error:
-        raise SettingsError(f"{path}: a JSON value is due: {error}") from None
+        raise SettingsError(f"{path}: expected a JSON value: {error}") from None
 
 
 def _check_paths(items: Mapping[str, Any]) -> None:
     for path, value in items.items():
         parts = path.split("/")
         if not all(parts):
-            raise SettingsError(f"{path or '(empty path)'}: a path without empty parts is due")
+            raise SettingsError(f"{path or '(empty path)'}: expected a path without empty parts")
         if parts[0] in MEMBER_LISTS:
             _check_member(path, parts, value)
         elif parts[0] == "shapes":
-            raise SettingsError(f"{path}: kinds are set one by one, at {KINDS}/NAME")
+            raise SettingsError(f"{path}: each kind has its own item, at {KINDS}/NAME")
         elif parts[0] not in SECTIONS:
             raise SettingsError(
-                f"{path}: no such kind of path; one of {', '.join(_known_first_parts())} is due first"
+                f"{path}: expected a path that begins with one of {', '.join(_known_first_parts())}"
             )
         elif parts[0] == "extra":
             _check_extra(path, parts, value)
@@ -128,20 +128,20 @@
 
 def _check_member(path: str, parts: list[str], value: Any) -> None:
     if len(parts) != 2:
-        raise SettingsError(f"{path}: {parts[0]}/NAME is due")
+        raise SettingsError(f"{path}: expected {parts[0]}/NAME")
     if not isinstance(value, Mapping):
-        raise SettingsError(f"{path}: an object is due, not {type(value).__name__}")
+        raise SettingsError(f"{path}: expected an object, got {type(value).__name__}")
     if value.get("name", parts[1]) != parts[1]:
-        raise SettingsError(f"{path}: the name {parts[1]!r} is due, not {value['name']!r}")
+        raise SettingsError(f"{path}: expected the name {parts[1]!r}, got {value['name']!r}")
 
 
 def _check_extra(path: str, parts: list[str], value: Any) -> None:
-    """The lists that run parallel to the kinds cannot be set beside these."""
+    """Refuse the lists that are parallel to the list of kinds: an item at `kinds/NAME` sets their values."""
     key_name = (
         parts[1] if len(parts) > 1 else next((key for key in PER_KIND_LISTS if _has_key(value, key)), "")
     )
     if key_name in PER_KIND_LISTS:
-        raise SettingsError(f"{path}: {key_name} is set kind by kind, at {KINDS}/NAME")
+        raise SettingsError(f"{path}: {key_name} is set for each kind, at {KINDS}/NAME")
 
 
 def _has_key(value: Any, key: str) -> bool:
@@ -149,25 +149,25 @@
 
 
 def _check_not_nested(path: str, items: Mapping[str, Any]) -> None:
-    """No item at a path inside another item's path: the two would contradict."""
+    """Refuse an item inside another item's path: the two could contradict each other."""
     parent, _, _ = path.rpartition("/")
     while parent:
         if parent in items:
-            raise SettingsError(f"{path}: lies inside {parent}, which another item sets")
+            raise SettingsError(f"{path}: is inside {parent}, which another item sets")
         parent, _, _ = parent.rpartition("/")
 
 
-# ---- values laid over the file's ----
+# ---- values that override the file's ----
 
 
 def _overlay_at(base: Mapping[str, Any], path: str, parts: list[str], value: Any) -> dict[str, Any]:
-    """A copy of `base` with a value laid over what stands at `parts`."""
+    """A copy of `base` in which `value` overrides the value at `parts`."""
     first, rest = parts[0], parts[1:]
     present = base.get(first)
     if not rest:
         return {**base, first: _overlay(path, present, value)}
     if present is not None and not isinstance(present, Mapping):
-        raise SettingsError(f"{path}: {first} is no object, so that nothing can be set in it")
+        raise SettingsError(f"{path}: {first} is not an object, so nothing can be set inside it")
     return {**base, first: _overlay_at(present or {}, path, rest, value)}
 
 
@@ -175,7 +175,7 @@
     if not isinstance(base, Mapping):
         return override
     if not isinstance(override, Mapping):
-        raise SettingsError(f"{path}: an object is due, not {type(override).__name__}")
+        raise SettingsError(f"{path}: expected an object, got {type(override).__name__}")
     return {
         **base,
         **{key: _overlay(f"{path}/{key}", base.get(key), value) for key, value in override.items()},
@@ -186,7 +186,7 @@
 
 
 def _members(items: Mapping[str, Any], list_name: str) -> dict[str, Any]:
-    """The members of one list by name."""
+    """The items that define members of one list, by the member's name."""
     prefix = f"{list_name}/"
     return {path.removeprefix(prefix): items[path] for path in sorted(items) if path.startswith(prefix)}
 
@@ -209,13 +209,13 @@
         reader = Reader(value, f"{KINDS}/{name}")
         max_batch = reader.integer("maxBatch", 1)
         if max_batch < 1:
-            raise SettingsError(f"{reader.path('maxBatch')}: 1 or more is due, not {max_batch}")
+            raise SettingsError(f"{reader.path('maxBatch')}: expected 1 or more, got {max_batch}")
         kinds[name] = DestinationKind(name, max_batch, reader.boolean("separateRoutes"))
     return kinds
 
 
 def _ordered_values(base: Any, members: Mapping[str, Any]) -> list[Any]:
-    """Those that the file names first, in its order, then the others by name."""
+    """First the members that the file lists, in its order, then the others sorted by name."""
     listed_names = (
         [item.get("name") for item in base if isinstance(item, Mapping)] if isinstance(base, list) else []
     )
@@ -234,11 +234,11 @@
 
 
 def _with_kinds(document: Mapping[str, Any], kinds: Iterable[DestinationKind]) -> dict[str, Any]:
-    """The document with exactly these kinds, in its three parallel lists."""
+    """The document with these kinds only, in its three parallel lists."""
     kinds = list(kinds)
     extra = document.get("extra", {})
     if not isinstance(extra, Mapping):
-        raise SettingsError(f"extra: an object is due, not {type(extra).__name__}")
+        raise SettingsError(f"extra: expected an object, got {type(extra).__name__}")
     max_batches, separate_routes = (
         [kind.max_batch for kind in kinds],
         [kind.separate_routes for kind in kinds],
@@ -250,7 +250,7 @@
     }
 
 
-# ---- what went and is still needed ----
+# ---- removed definitions that are still needed ----
 
 
 def _with_retired(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
@@ -286,13 +286,13 @@
     return _with_kinds(document, [*present.values(), *added])
 
 
-# ---- what a name stands for ----
+# ---- compatibility of definitions under one name ----
 
 
 def check_class_compatible(new: MessageClass, old: MessageClass) -> None:
-    """Refuse another effect, handling of repeats or order under the name of a class that there was.
+    """Refuse a change of a class's effect, deduplication or ordering under its name.
 
-    A message that is owed under the old terms may have run: tried under the new ones it could run twice.
+    A pending message may have run under the old definition; a retry under the new one could run it twice.
     """
     for key, before, after in (
         ("repeat", old.effect, new.effect),
@@ -302,13 +302,13 @@
     ):
         if before != after:
             raise SettingsError(
-                f"{LANES}/{new.name}.{key}: cannot change under one name; give the class another"
+                f"{LANES}/{new.name}.{key}: cannot change for an existing class; use a new class name"
             )
 
 
 def check_kind_compatible(new: DestinationKind, old: DestinationKind) -> None:
-    """Refuse a change of whether routes are apart: the breakers' state is kept by it."""
+    """Refuse a change of a kind's `separate_routes` under its name: the breakers' state depends on it."""
     if new.separate_routes != old.separate_routes:
         raise SettingsError(
-            f"{KINDS}/{new.name}.separateRoutes: cannot change under one name; give the kind another"
+            f"{KINDS}/{new.name}.separateRoutes: cannot change for an existing kind; use a new kind name"
         )
--- a/irisstack/dynamic_settings/etcd.py
+++ b/irisstack/dynamic_settings/etcd.py
@@ -1,9 +1,9 @@
-"""The part of etcd's published v3 JSON gateway that dynamic settings use, without sockets.
+"""Codec for the part of etcd's v3 JSON gateway that dynamic settings use; no sockets.
 
-Requests become the JSON body of a POST; answers and the frames of a watch become typed messages. In this JSON
-keys and values are base64, 64-bit integers are strings, and a field that holds its default is left out.
+Requests are encoded as the JSON body of a POST; responses and watch frames are parsed into typed messages.
+In this JSON, keys and values are base64, 64-bit integers are strings and default values are omitted.
 
-Whatever a member sends, the functions here return a message or raise `GatewayError`, and nothing else.
+Whatever a member sends, the parsers return a message or raise `GatewayError`; they raise nothing else.
 """
 
 import base64
@@ -22,23 +22,23 @@
 MAX_INT64 = 2**63 - 1
 MAX_UINT64 = 2**64 - 1
 MAX_QUOTED_CHARACTERS = 120
-"""How much of a text that a member sent is repeated in an error."""
+"""Longest excerpt of a member's text in an error message."""
 COMPACTED_MESSAGE = "required revision has been compacted"
 
 
 class ErrorKind(Enum):
-    """What an error of the gateway means to the one that asked."""
+    """What an error of the gateway means for the caller."""
 
     COMPACTED = auto()
-    """The revision asked for is no longer in the history."""
+    """The requested revision is no longer in the history."""
     REFUSED = auto()
-    """The member answered that it can't do what was asked: no leader, no quorum, too many requests."""
+    """The member reports an error, such as no leader, no quorum or too many requests."""
     MALFORMED = auto()
-    """What came is not what the gateway's interface allows."""
+    """The response does not conform to the gateway's interface."""
 
 
 class GatewayError(Exception):
-    """An answer that is none; the text is one line."""
+    """An error response or a malformed one; the text is one line."""
 
     def __init__(self, kind: ErrorKind, reason: str) -> None:
         super().__init__(reason)
@@ -46,7 +46,7 @@
 
 
 class GrpcCode(IntEnum):
-    """The status codes of gRPC that matter here."""
+    """The gRPC status codes used here."""
 
     OUT_OF_RANGE = 11
 
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseHeader:
-    """Who answered, and the revision of the whole store at that time."""
+    """The cluster and member that responded, and the store's revision at that time."""
 
     cluster_id: int
     member_id: int
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyValue:
-    """A key as of the revision that changed it last; the value is empty where keys alone were asked for."""
+    """A key and the revision of its last change; the value is empty if only keys were requested."""
 
     key: bytes
     value: bytes
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEvent:
-    """One change of one key; of a deletion the value is empty."""
+    """One change of one key; the value is empty for a deletion."""
 
     type: EventType
     item: KeyValue
@@ -86,16 +86,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RangeRequest:
-    """Asks for the keys from `key` up to but without `range_end`; always linearizable."""
+    """Requests the keys from `key` up to, not including, `range_end`; always linearizable."""
 
     key: bytes
     range_end: bytes
     revision: int = 0
     """The revision to read at; 0 for the newest."""
     limit: int = 0
-    """Most keys of the answer; 0 for all."""
+    """Most keys in the response; 0 for no limit."""
     newest_first: bool = False
-    """Sorted by the revision of the last change, the newest first."""
+    """Sort by the revision of the last change, newest first."""
     keys_only: bool = False
 
     def body(self) -> bytes:
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RangeResponse:
-    """The keys of one page; `count` is the number of keys in the whole range."""
+    """One page of keys; `count` is the number of keys in the whole range."""
 
     header: ResponseHeader
     items: tuple[KeyValue, ...]
@@ -127,14 +127,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TxnRequest:
-    """Changes keys of a range in one revision, unless a key of the range has changed since another one."""
+    """Changes keys of a range in one revision, on condition that the range has not changed meanwhile."""
 
     key: bytes
     range_end: bytes
     unchanged_since: int
-    """The revision behind which no key of the range may have changed."""
+    """No key of the range may have been put after this revision."""
     expected_revisions: Mapping[bytes, int]
-    """Keys that must still have the revision of their last change: a deletion shows in no other way."""
+    """Keys and the revision of their last change, which must be the same; this detects deletions."""
     puts: Mapping[bytes, bytes]
     deletes: Sequence[bytes]
 
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TxnResponse:
-    """Whether a transaction's conditions held; if so, its revision is the header's."""
+    """Whether a transaction's conditions held; if so, the header has its revision."""
 
     header: ResponseHeader
     succeeded: bool
@@ -160,7 +160,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchRequest:
-    """Asks for each change of the range from a revision on."""
+    """Requests every change of the range from a revision on."""
 
     key: bytes
     range_end: bytes
@@ -177,19 +177,19 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchResponse:
-    """One frame of a watch. A member never splits a revision over two frames unless asked to."""
+    """One frame of a watch. etcd does not split a revision over several frames unless requested."""
 
     header: ResponseHeader
     events: tuple[WatchEvent, ...] = ()
     created: bool = False
     canceled: bool = False
     compact_revision: int = 0
-    """Of a watch that was canceled: the oldest revision that the history holds, 0 if that is not why."""
+    """For a watch canceled by a compaction: the oldest revision in the history; otherwise 0."""
     cancel_reason: str = ""
 
 
 def prefix_range_end(prefix: bytes) -> bytes:
-    """The first key behind all that begin with the prefix; a zero byte stands for the end of all keys."""
+    """The end of the range of keys with this prefix; a zero byte means the end of the key space."""
     for index in range(len(prefix) - 1, -1, -1):
         if prefix[index] < 0xFF:
             return prefix[:index] + bytes([prefix[index] + 1])
@@ -197,12 +197,12 @@
 
 
 def key_after(key: bytes) -> bytes:
-    """The first key behind this one."""
+    """The next possible key in the order of keys."""
     return key + b"\0"
 
 
 def parse_range_response(status: int, body: bytes) -> RangeResponse:
-    """The answer to a `RangeRequest`; raises `GatewayError`."""
+    """Parse the response to a `RangeRequest`; raises `GatewayError`."""
     raw = _parse_object(body)
     if status != HTTPStatus.OK or "error" in raw:
         raise _to_error(raw, status)
@@ -215,7 +215,7 @@
 
 
 def parse_txn_response(status: int, body: bytes) -> TxnResponse:
-    """The answer to a `TxnRequest`; raises `GatewayError`."""
+    """Parse the response to a `TxnRequest`; raises `GatewayError`."""
     raw = _parse_object(body)
     if status != HTTPStatus.OK or "error" in raw:
         raise _to_error(raw, status)
@@ -223,7 +223,7 @@
 
 
 def parse_watch_error(status: int, body: bytes) -> GatewayError:
-    """Why a watch was not opened, of an answer whose status is not 200."""
+    """The error in a response that refuses a watch, whose status is not 200."""
     try:
         return _to_error(_parse_object(body), status)
     except GatewayError:
@@ -231,14 +231,14 @@
 
 
 def parse_watch_response(frame: bytes) -> WatchResponse:
-    """One frame of a watch; raises `GatewayError`."""
+    """Parse one frame of a watch; raises `GatewayError`."""
     raw = _parse_object(frame)
     if "error" in raw:
         raise _to_error(raw, HTTPStatus.OK)
     result = _get_object(raw, "result")
     canceled = _get_bool(result, "canceled")
     return WatchResponse(
-        # Where a compaction cancels the watch, etcd leaves the revision out.
+        # etcd omits the revision when a compaction cancels the watch.
         header=_parse_header(result, min_revision=0 if canceled else 1),
         events=tuple(
             _parse_watch_event(event, f"events[{i}]") for i, event in enumerate(_get_list(result, "events"))
@@ -250,21 +250,21 @@
     )
 
 
-# ---- out of JSON ----
+# ---- parsing JSON ----
 
 
 def _parse_object(data: bytes) -> Mapping[str, Any]:
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
-        raise _malformed(f"no JSON: {_quote(data)}") from None
+        raise _malformed(f"expected JSON, got {_quote(data)}") from None
     if not isinstance(raw, dict):
-        raise _malformed(f"no JSON object: {_quote(data)}")
+        raise _malformed(f"expected a JSON object, got {_quote(data)}")
     return raw
 
 
 def _to_error(raw: Mapping[str, Any], status: int) -> GatewayError:
-    """The error that an answer or a frame holds; the gateway nests it in a stream and not in an answer."""
+    """The error in a response or frame; the gateway nests the error's fields only in a stream's frames."""
     nested = raw.get("error")
     fields = nested if isinstance(nested, dict) else raw
     message = fields.get("message") or nested or f"status {status}"
@@ -279,7 +279,7 @@
     header = _get_object(raw, "header")
     revision = _get_integer(header, "revision")
     if revision < min_revision:
-        raise _malformed("header.revision: 1 or more is due")
+        raise _malformed(f"header.revision: expected {min_revision} or more, got {revision}")
     return ResponseHeader(
         cluster_id=_get_integer(header, "cluster_id", MAX_UINT64),
         member_id=_get_integer(header, "member_id", MAX_UINT64),
@@ -289,17 +289,17 @@
 
 def _parse_watch_event(raw: object, path: str) -> WatchEvent:
     if not isinstance(raw, dict):
-        raise _malformed(f"{path}: an object is due")
+        raise _malformed(f"{path}: expected an object")
     try:
         event_type = EventType(raw.get("type", EventType.PUT.value))
     except ValueError:
-        raise _malformed(f"{path}.type: PUT or DELETE is due, not {_quote(raw['type'])}") from None
+        raise _malformed(f"{path}.type: expected PUT or DELETE, got {_quote(raw['type'])}") from None
     return WatchEvent(event_type, _parse_key_value(raw.get("kv"), f"{path}.kv"))
 
 
 def _parse_key_value(raw: object, path: str) -> KeyValue:
     if not isinstance(raw, dict):
-        raise _malformed(f"{path}: an object is due")
+        raise _malformed(f"{path}: expected an object")
     return KeyValue(
         key=_get_bytes(raw, "key", path),
         value=_get_bytes(raw, "value", path),
@@ -310,7 +310,7 @@
 def _get_object(raw: Mapping[str, Any], key: str) -> Mapping[str, Any]:
     value = raw.get(key)
     if not isinstance(value, dict):
-        raise _malformed(f"{key}: an object is due")
+        raise _malformed(f"{key}: expected an object")
     return value
 
 
@@ -319,24 +319,24 @@
     if value is None:
         return []
     if not isinstance(value, list):
-        raise _malformed(f"{key}: a list is due")
+        raise _malformed(f"{key}: expected a list")
     return value
 
 
 def _get_bool(raw: Mapping[str, Any], key: str) -> bool:
     value = raw.get(key, False)
     if not isinstance(value, bool):
-        raise _malformed(f"{key}: true or false is due")
+        raise _malformed(f"{key}: expected true or false")
     return value
 
 
 def _get_integer(raw: Mapping[str, Any], key: str, maximum: int = MAX_INT64) -> int:
-    """An integer from 0 up, as a string or a number; 0 where it is left out."""
+    """An integer of at least 0, given as a string or a number; 0 if omitted."""
     value: object = raw.get(key, 0)
     if isinstance(value, str) and value.isascii() and value.isdigit() and len(value) <= len(str(MAX_UINT64)):
         value = int(value)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= maximum:
-        raise _malformed(f"{key}: an integer from 0 to {maximum} is due, not {_quote(value)}")
+        raise _malformed(f"{key}: expected an integer from 0 to {maximum}, got {_quote(value)}")
     return value
 
 
@@ -345,7 +345,7 @@
     try:
         return base64.b64decode(value, validate=True)
     except (TypeError, ValueError, binascii.Error):
-        raise _malformed(f"{path}.{key}: base64 is due, not {_quote(value)}") from None
+        raise _malformed(f"{path}.{key}: expected base64, got {_quote(value)}") from None
 
 
 def _malformed(reason: str) -> GatewayError:
@@ -353,7 +353,7 @@
 
 
 def _quote(value: object) -> str:
-    """The begin of what a member sent, on one line; of what may be nested, its type alone."""
+    """An excerpt of a member's value, on one line; only the type for lists and objects."""
     if isinstance(value, bytes):
         text = value[:MAX_QUOTED_CHARACTERS].decode("latin-1")
     elif isinstance(value, str | int | float):
@@ -363,7 +363,7 @@
     return "".join(c if c.isprintable() else "?" for c in text)
 
 
-# ---- into JSON ----
+# ---- writing JSON ----
 
 
 def _encode_base64(data: bytes) -> str:
--- a/irisstack/dynamic_settings/events.py
+++ b/irisstack/dynamic_settings/events.py
@@ -1,4 +1,4 @@
-"""What the follower's decisions are told, and what they ask for."""
+"""Events that the settings follower processes and actions that it returns."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,19 +12,19 @@
     """How a call to a member failed."""
 
     UNREACHABLE = auto()
-    """There was no connection within `CONNECT_TIMEOUT_S`."""
+    """No connection within `CONNECT_TIMEOUT_S`."""
     SILENT = auto()
-    """The member kept the node waiting for longer than `ANSWER_TIMEOUT_S`, whatever it sent meanwhile."""
+    """The node waited for the member longer than `ANSWER_TIMEOUT_S` in all, even if parts arrived."""
     ENDED = auto()
-    """The connection ended before the answer was whole, or the watch ended."""
+    """The connection closed before the response was complete, or the watch ended."""
     REFUSED = auto()
-    """The member answered with an error."""
+    """The member responded with an error."""
     COMPACTED = auto()
-    """The revision asked for is no longer in the history."""
+    """The requested revision is no longer in the history."""
     MALFORMED = auto()
-    """What came is no HTTP, or not what etcd's interface allows."""
+    """The response is not HTTP or does not conform to etcd's interface."""
     TOO_LARGE = auto()
-    """The answer is longer than the node is willing to hold."""
+    """The response exceeds the node's limit."""
 
 
 # ---- events ----
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RangeResponseReceived:
-    """The answer to an `SendRangeRequest`; that call is over."""
+    """The response to a `SendRangeRequest`; the call is finished."""
 
     call_id: int
     answer: RangeResponse
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchResponseReceived:
-    """One frame of the watch; the call goes on."""
+    """One frame of the watch; the call continues."""
 
     call_id: int
     answer: WatchResponse
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FrameProgress:
-    """How many bytes of the watch's frame under way have come; 0 between two frames."""
+    """Bytes received so far of the watch's current frame; 0 between frames."""
 
     call_id: int
     received_bytes: int
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFailed:
-    """A call is over without an answer, or the watch has ended."""
+    """A call failed without a response, or the watch ended."""
 
     call_id: int
     kind: FailureKind
@@ -65,14 +65,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DocumentAccepted:
-    """A proposed document was checked and is in force."""
+    """A proposed document passed the check and is in force."""
 
     revision: int
 
 
 @dataclass(slots=True, frozen=True)
 class DocumentRefused:
-    """A proposed document did not pass the check; the one in force stays."""
+    """A proposed document failed the check; the one in force stays."""
 
     revision: int
     reason: str
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendRangeRequest:
-    """Send a range request; ends with `RangeResponseReceived` or `CallFailed`."""
+    """Send a range request; results in `RangeResponseReceived` or `CallFailed`."""
 
     call_id: int
     member: str
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenWatch:
-    """Open a watch; ends with `CallFailed` alone."""
+    """Open a watch; results in `WatchResponseReceived` for each frame and ends only with `CallFailed`."""
 
     call_id: int
     member: str
@@ -111,30 +111,30 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelCall:
-    """Close the call's connection; nothing more is heard of it."""
+    """Close the call's connection; no more events follow for it."""
 
     call_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProposeDocument:
-    """Check a document as a whole and, if it is good, put it in force; proposals keep their order."""
+    """Check a document as a whole and put it in force if it passes; proposals are handled in order."""
 
     revision: int
     cluster_id: int
     items: Mapping[str, Any]
-    """The values by their path below the prefix."""
+    """Values by path below the prefix."""
 
 
 @dataclass(slots=True, frozen=True)
 class WakeAt:
-    """Call `step` at this time at the latest, even without an event. Each step gives exactly one."""
+    """Call `step` at this time at the latest, even without an event. Each step returns exactly one."""
 
     at: float
 
 
 class LogLevel(Enum):
-    """How much a line of the log matters."""
+    """Level of a log line."""
 
     INFO = "info"
     WARNING = "warning"
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the log."""
 
     level: LogLevel
     event: str
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class IncrementCounter:
-    """Add to a counter of the node."""
+    """Add to one of the node's counters."""
 
     name: str
     amount: int = 1
--- a/irisstack/dynamic_settings/items.py
+++ b/irisstack/dynamic_settings/items.py
@@ -1,4 +1,4 @@
-"""The keys below the prefix as the stream of changes has them, good or bad."""
+"""The keys below the prefix and their parsed values, valid or not, kept up to date with the changes."""
 
 import json
 import math
@@ -10,18 +10,18 @@
 from irisstack.dynamic_settings.limits import MAX_DOCUMENT_BYTES, item_size
 
 MAX_HELD_BYTES = 2 * MAX_DOCUMENT_BYTES
-"""Most bytes that are held of a document that is too large, so that a change can mend it."""
+"""A document above `MAX_DOCUMENT_BYTES` is held up to this size, so that a change can shrink it again."""
 MAX_QUOTED_CHARACTERS = 80
-"""How much of a path is repeated in a reason."""
+"""Longest excerpt of a path in an error message."""
 
 
 class DocumentTooLargeError(Exception):
-    """More lies below the prefix than is held."""
+    """The keys below the prefix exceed `MAX_HELD_BYTES`."""
 
 
 @dataclass(slots=True, frozen=True)
 class Item:
-    """The value of one key. `problem` says why it cannot be used."""
+    """The value of one key. `problem` says why it is invalid; empty if it is valid."""
 
     value: Any
     size: int
@@ -29,7 +29,7 @@
 
 
 class StreamItems:
-    """What lies below the prefix at the revision last received."""
+    """The items below the prefix at the revision last received."""
 
     def __init__(self, prefix: bytes) -> None:
         self._prefix = prefix
@@ -49,22 +49,22 @@
         return len(self._items)
 
     def put(self, item: KeyValue) -> None:
-        """A key has this value from now on; raises `DocumentTooLargeError`."""
+        """Set a key's value; raises `DocumentTooLargeError`."""
         self.delete(item.key)
         size = item_size(len(item.key) - len(self._prefix), len(item.value))
         self._size += size
         if self._size > MAX_HELD_BYTES:
-            raise DocumentTooLargeError(f"the document: {MAX_DOCUMENT_BYTES} bytes at most are due")
+            raise DocumentTooLargeError(f"the document: expected at most {MAX_DOCUMENT_BYTES} bytes")
         self._items[item.key] = _parse_value(item.value, size)
 
     def delete(self, key: bytes) -> None:
-        """A key is gone, if it was there."""
+        """Remove a key if it exists."""
         removed = self._items.pop(key, None)
         if removed is not None:
             self._size -= removed.size
 
     def apply(self, events: Iterable[WatchEvent]) -> None:
-        """Take in all changes of one revision; raises `DocumentTooLargeError`."""
+        """Apply all changes of one revision; raises `DocumentTooLargeError`."""
         for event in events:
             if event.type is EventType.PUT:
                 self.put(event.item)
@@ -72,18 +72,18 @@
                 self.delete(event.item.key)
 
     def problem(self) -> str:
-        """Why the items make no document, with the path first; empty if they do."""
+        """Why the items are not a valid document, beginning with a path; empty if they are."""
         for key, item in self._items.items():
             if item.problem:
                 return f"{self._quote_path(key)}: {item.problem}"
             if _decode_path(key, self._prefix) is None:
-                return f"{self._quote_path(key)}: a path in UTF-8 is due"
+                return f"{self._quote_path(key)}: expected a path in UTF-8"
         if self._size > MAX_DOCUMENT_BYTES:
-            return f"the document: {MAX_DOCUMENT_BYTES} bytes at most are due, not {self._size}"
+            return f"the document: expected at most {MAX_DOCUMENT_BYTES} bytes, got {self._size}"
         return ""
 
     def values(self) -> dict[str, Any]:
-        """The values by path, of items without a problem."""
+        """The values by path; meaningful only if `problem` returns nothing."""
         return {key[len(self._prefix) :].decode(): item.value for key, item in self._items.items()}
 
     def _quote_path(self, key: bytes) -> str:
@@ -92,7 +92,7 @@
 
 
 def _decode_path(key: bytes, prefix: bytes) -> str | None:
-    """The key's path below the prefix; `None` if it has none."""
+    """The key's path below the prefix; `None` if it is empty or not UTF-8."""
     try:
         return key[len(prefix) :].decode() or None
     except UnicodeDecodeError:
@@ -101,15 +101,15 @@
 
 def _parse_value(data: bytes, size: int) -> Item:
     if len(data) > MAX_DOCUMENT_BYTES:
-        return Item(None, size, f"{MAX_DOCUMENT_BYTES} bytes at most are due, not {len(data)}")
+        return Item(None, size, f"expected at most {MAX_DOCUMENT_BYTES} bytes, got {len(data)}")
     try:
         return Item(json.loads(data, parse_float=_parse_finite_float, parse_constant=_reject_constant), size)
     except (ValueError, RecursionError):
-        return Item(None, size, "JSON is due")
+        return Item(None, size, "expected JSON")
 
 
 def _parse_finite_float(text: str) -> float:
-    """A number that JSON can write again."""
+    """A number that can be written as JSON again."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError("out of range")
@@ -117,5 +117,5 @@
 
 
 def _reject_constant(text: str) -> float:
-    """NaN and the infinities are no JSON."""
+    """Refuse NaN and infinities, which are not JSON."""
     raise ValueError(text)
--- a/irisstack/dynamic_settings/merge.py
+++ b/irisstack/dynamic_settings/merge.py
@@ -1,7 +1,7 @@
-"""Proposed settings under the positions of those in force, or why a running node cannot take them.
+"""Merges proposed settings into those in force, or refuses what a running node cannot apply.
 
-Pure. Messages, endpoints and breakers refer to classes, kinds, tenants and zones by position. So each keeps
-the position that it had under its name, also once it went; what is new is appended.
+Pure functions. Messages, endpoints and breakers refer to classes, kinds, tenants and zones by position. So
+each name keeps its position, even after it has been removed, and new names are appended.
 """
 
 from collections.abc import Mapping
@@ -21,83 +21,91 @@
 from irisstack.settings import SettingsError
 
 MAX_POSITIONS = 4096
-"""The most classes, kinds, tenants or zones, those that went included, until a restart drops these."""
+"""Most classes, kinds, tenants or zones, including removed ones, which only a restart drops."""
 
 
 class ChangePolicy(Enum):
-    """How a running node takes a change of a field."""
+    """How a running node handles a change of a field."""
 
-    LIVE = auto()  # the new value counts from the next turn on
-    BY_NAME = auto()  # a list whose members keep their positions
-    RESTART = auto()  # refused: the node was built by the value
+    LIVE = auto()  # the new value applies from the next turn on
+    BY_NAME = auto()  # a list whose members keep their positions by name
+    RESTART = auto()  # refused, because the node was set up with the old value
 
 
 @dataclass(slots=True, frozen=True)
 class FieldRule:
-    """What a change of one field of `Settings` means for a running node."""
+    """How a running node handles a change of one field of `Settings`, and why."""
 
     policy: ChangePolicy
     path: str
-    """Of the settings document."""
+    """Path in the settings document."""
     reason: str
 
 
 FIELD_RULES: Mapping[str, FieldRule] = {
     "classes": FieldRule(
-        ChangePolicy.BY_NAME, "lanes", "messages refer to a class by position and keep their own terms"
+        ChangePolicy.BY_NAME,
+        "lanes",
+        "messages refer to a class by position and keep a copy of its values",
     ),
     "kinds": FieldRule(ChangePolicy.BY_NAME, "kinds", "endpoints refer to a kind by position"),
     "tenants": FieldRule(ChangePolicy.BY_NAME, "tenants", "messages refer to a tenant by position"),
     "zones": FieldRule(
-        ChangePolicy.BY_NAME, "failureDomains", "endpoints, and messages that ran, refer to a zone"
+        ChangePolicy.BY_NAME,
+        "failureDomains",
+        "endpoints and messages that may have run refer to a zone",
     ),
-    "zone": FieldRule(ChangePolicy.RESTART, "az", "the machine stands where it stands"),
+    "zone": FieldRule(ChangePolicy.RESTART, "az", "the node's machine does not move"),
     "cross_zone_price": FieldRule(ChangePolicy.LIVE, "tariffs.crossZone", "read whenever a route is chosen"),
-    "senders": FieldRule(ChangePolicy.LIVE, "balancers", "read whenever a part of a shared limit is taken"),
-    "ordinal": FieldRule(ChangePolicy.RESTART, "ordinal", "it tells this node from the others"),
+    "senders": FieldRule(ChangePolicy.LIVE, "balancers", "read whenever a share of a limit is computed"),
+    "ordinal": FieldRule(ChangePolicy.RESTART, "ordinal", "it identifies this node among the others"),
     "max_calls": FieldRule(
         ChangePolicy.LIVE, "extra.maxCalls", "read before each call; mailboxes and idle connections follow"
     ),
     "max_pending": FieldRule(
-        ChangePolicy.LIVE, "allowed.mostHeld", "read as a message comes; what is held stays"
+        ChangePolicy.LIVE, "allowed.mostHeld", "read when a message arrives; pending messages stay"
     ),
-    "max_attempts": FieldRule(ChangePolicy.LIVE, "allowed.attemptsCap", "read as a message is put in line"),
-    "may_cancel": FieldRule(ChangePolicy.LIVE, "allowed.cancel", "read when slots run out"),
-    "may_duplicate": FieldRule(ChangePolicy.LIVE, "allowed.mayDuplicate", "no state hangs on it"),
-    "may_probe": FieldRule(ChangePolicy.LIVE, "allowed.mayProbe", "no state hangs on it"),
+    "max_attempts": FieldRule(ChangePolicy.LIVE, "allowed.attemptsCap", "read when a message is queued"),
+    "may_cancel": FieldRule(ChangePolicy.LIVE, "allowed.cancel", "read when call slots run out"),
+    "may_duplicate": FieldRule(ChangePolicy.LIVE, "allowed.mayDuplicate", "no state depends on it"),
+    "may_probe": FieldRule(ChangePolicy.LIVE, "allowed.mayProbe", "no state depends on it"),
     "may_gossip": FieldRule(
-        ChangePolicy.LIVE, "allowed.mayTell", "read with each failure; without `peers` it stays false"
+        ChangePolicy.LIVE, "allowed.mayTell", "read at each failure; stays false without `peers`"
     ),
-    "advises_retry_after": FieldRule(ChangePolicy.LIVE, "allowed.retryAfter", "read with each refusal"),
-    "max_retry_after": FieldRule(ChangePolicy.LIVE, "allowed.maxRetryAfter", "read with each refusal"),
+    "advises_retry_after": FieldRule(ChangePolicy.LIVE, "allowed.retryAfter", "read at each rejection"),
+    "max_retry_after": FieldRule(ChangePolicy.LIVE, "allowed.maxRetryAfter", "read at each rejection"),
     "connect_timeout": FieldRule(
         ChangePolicy.LIVE,
         "allowed.dialTimeout",
-        "counts for the next connect; a repeat has its own last moment",
+        "applies to the next connection attempt; a retry has its own latest start",
     ),
     "keepalive": FieldRule(
-        ChangePolicy.LIVE, "allowed.keepalive", "counts from the next look at idle connections"
+        ChangePolicy.LIVE, "allowed.keepalive", "applies from the next check of idle connections on"
     ),
     "calls_per_connection": FieldRule(
         ChangePolicy.LIVE, "allowed.multiplex", "read whenever a route is chosen"
     ),
     "discovery_on_request": FieldRule(
-        ChangePolicy.RESTART, "discovery", "who holds the watch, node or decisions, is settled at the start"
+        ChangePolicy.RESTART,
+        "discovery",
+        "whether the node or the sender holds the watch is set at the start",
     ),
     "list_refresh_interval": FieldRule(
         ChangePolicy.LIVE, "invariants.askWithin", "read before the next call for the list"
     ),
     "listed_rates": FieldRule(
-        ChangePolicy.RESTART, "weights", "a rate is taken, or left, as its line of the list comes"
+        ChangePolicy.RESTART,
+        "weights",
+        "a rate is used or ignored when its line of the list arrives",
     ),
-    "rates_are_rough": FieldRule(ChangePolicy.RESTART, "weights", "as above: one key sets both"),
+    "rates_are_rough": FieldRule(ChangePolicy.RESTART, "weights", "set by the same key as `listed_rates`"),
     "report_fields": FieldRule(
-        ChangePolicy.LIVE, "report.names", "a report that was read by other names is left out"
+        ChangePolicy.LIVE, "report.names", "a report that was read under other names is ignored"
     ),
-    "decay": FieldRule(ChangePolicy.LIVE, "extra.fades", "no state hangs on it"),
-    "over_share_worth": FieldRule(ChangePolicy.LIVE, "overShareWorth", "no state hangs on it"),
-    "answer_slack": FieldRule(ChangePolicy.LIVE, "invariants.answerSlack", "no state hangs on it"),
-    "drain_grace": FieldRule(ChangePolicy.LIVE, "invariants.drainGrace", "no state hangs on it"),
+    "decay": FieldRule(ChangePolicy.LIVE, "extra.fades", "no state depends on it"),
+    "over_share_worth": FieldRule(ChangePolicy.LIVE, "overShareWorth", "no state depends on it"),
+    "answer_slack": FieldRule(ChangePolicy.LIVE, "invariants.answerSlack", "no state depends on it"),
+    "drain_grace": FieldRule(ChangePolicy.LIVE, "invariants.drainGrace", "no state depends on it"),
     "warmup_start_share": FieldRule(
         ChangePolicy.LIVE, "invariants.startCapacity", "read with each call while warming up"
     ),
@@ -105,15 +113,15 @@
     "overload_multiple": FieldRule(
         ChangePolicy.LIVE, "invariants.tipMultiple", "read with each call while warming up"
     ),
-    "overload_window": FieldRule(ChangePolicy.LIVE, "invariants.fall", "no state hangs on it"),
-    "order_pause": FieldRule(ChangePolicy.LIVE, "invariants.orderPause", "read as an attempt ends"),
+    "overload_window": FieldRule(ChangePolicy.LIVE, "invariants.fall", "no state depends on it"),
+    "order_pause": FieldRule(ChangePolicy.LIVE, "invariants.orderPause", "read when an attempt ends"),
     "clock_resolution": FieldRule(
         ChangePolicy.RESTART,
         "resolution",
-        "timers that are set and the last moments of repeats were reckoned by it",
+        "pending timers and the latest starts of retries were computed with it",
     ),
 }
-"""Each field of `Settings`."""
+"""The rule for each field of `Settings`."""
 
 
 class _Named(Protocol):
@@ -125,10 +133,10 @@
 
 
 def merge(in_force: Settings, proposed: Settings) -> Settings:
-    """The proposed settings with stable positions; raises `SettingsError` for what is not taken.
+    """The proposed settings with stable positions; raises `SettingsError` for a change that is refused.
 
-    Both may be merged ones. What went is still there, so that a class that went and comes back with another
-    effect is refused as well.
+    Both arguments may be results of earlier merges. Removed definitions are still in `in_force`, so that a
+    class that returns with another effect is refused as well.
     """
     check_no_restart_needed(in_force, proposed)
     _check_definitions_compatible(in_force, proposed)
@@ -145,7 +153,7 @@
 
 
 def retired_definitions(merged: Settings, proposed: Settings) -> dict[str, Any]:
-    """Definitions of the classes and kinds that went, by path, as `document.compose` takes them."""
+    """Definitions of the removed classes and kinds, by path, in the form that `document.compose` expects."""
     classes = {message_class.name for message_class in proposed.classes}
     kinds = {kind.name for kind in proposed.kinds}
     return {
@@ -159,7 +167,7 @@
 
 
 def check_no_restart_needed(in_force: Settings, proposed: Settings) -> None:
-    """Raise `SettingsError` for a change of what a running node cannot follow."""
+    """Raise `SettingsError` for a change that a running node cannot apply."""
     for field in fields(Settings):
         rule = FIELD_RULES[field.name]
         if rule.policy is ChangePolicy.RESTART and _comparable(in_force, field.name) != _comparable(
@@ -169,7 +177,7 @@
 
 
 def _comparable(settings: Settings, field: str) -> Any:
-    """A field; the own zone by its name, since its position may differ in a list that was written anew."""
+    """A field's value; the node's zone by name, because its position may differ between two lists."""
     if field == "zone":
         return settings.zones[settings.zone] if settings.zones else None
     return getattr(settings, field)
@@ -189,7 +197,7 @@
 def _merge_by_name(
     path: str, in_force: tuple[Member, ...], proposed: tuple[Member, ...]
 ) -> tuple[Member, ...]:
-    """The members in force at their places, as proposed where proposed; then those that are new."""
+    """The members in force at their positions, with proposed values if any; new members are appended."""
     by_name = {member.name: member for member in proposed}
     known = {member.name for member in in_force}
     kept = [by_name.get(member.name, member) for member in in_force]
@@ -201,5 +209,6 @@
 def _check_count(path: str, count: int) -> None:
     if count > MAX_POSITIONS:
         raise SettingsError(
-            f"{path}: {MAX_POSITIONS} at most with those that went, not {count}; a restart drops these"
+            f"{path}: expected at most {MAX_POSITIONS} including removed ones, got {count};"
+            " a restart drops these"
         )
--- a/irisstack/dynamic_settings/pages.py
+++ b/irisstack/dynamic_settings/pages.py
@@ -1,4 +1,4 @@
-"""A snapshot of what lies below the prefix, put together from pages that all show one revision."""
+"""A snapshot of the keys below the prefix, assembled from pages read at one revision."""
 
 from irisstack.dynamic_settings.etcd import (
     ErrorKind,
@@ -12,24 +12,24 @@
 from irisstack.dynamic_settings.items import StreamItems
 
 MAX_PAGE_KEYS = 64
-"""Most keys of one page."""
+"""Most keys in one page."""
 
 
 class SnapshotPages:
-    """The pages that have come so far; the first one settles the revision of all."""
+    """The pages received so far; the first page determines the revision of the others."""
 
     def __init__(self, prefix: bytes) -> None:
         self._prefix = prefix
         self._next_key = prefix
         self.items = StreamItems(prefix)
         self.revision = 0
-        """The revision of every page, 0 before the first one has come."""
+        """The revision of every page; 0 before the first one."""
         self.cluster_id = 0
         self.requested_at = 0.0
-        """When the first page was asked for: the snapshot is as new as that."""
+        """When the first page was requested; the snapshot was current at that time."""
 
     def next_request(self) -> RangeRequest:
-        """What to ask for the next page."""
+        """The request for the next page."""
         return RangeRequest(
             self._next_key, prefix_range_end(self._prefix), revision=self.revision, limit=MAX_PAGE_KEYS
         )
@@ -37,13 +37,13 @@
     def add_page(self, answer: RangeResponse) -> bool:
         """Add a page; returns whether it was the last one.
 
-        Raises `GatewayError` for a page that the revision cannot have, and `DocumentTooLargeError`.
+        Raises `GatewayError` for a page that is inconsistent with the request, and `DocumentTooLargeError`.
         """
         if not self.revision:
             self.revision = answer.header.revision
             self.cluster_id = answer.header.cluster_id
         if answer.header.cluster_id != self.cluster_id:
-            raise GatewayError(ErrorKind.MALFORMED, "a page of another cluster than the first one's")
+            raise GatewayError(ErrorKind.MALFORMED, "page of another cluster than the first page's")
         last_key = b""
         for item in answer.items:
             self._validate_item(item, last_key)
@@ -51,13 +51,13 @@
             self.items.put(item)
         if answer.more:
             if not last_key:
-                raise GatewayError(ErrorKind.MALFORMED, "an empty page that says more follow")
+                raise GatewayError(ErrorKind.MALFORMED, "empty page that announces more pages")
             self._next_key = key_after(last_key)
             return False
         return True
 
     def _validate_item(self, item: KeyValue, last_key: bytes) -> None:
         if not item.key.startswith(self._prefix) or item.key < self._next_key or item.key <= last_key:
-            raise GatewayError(ErrorKind.MALFORMED, "a page with keys that were not asked for")
+            raise GatewayError(ErrorKind.MALFORMED, "page with keys outside the requested range")
         if not 0 < item.mod_revision <= self.revision:
-            raise GatewayError(ErrorKind.MALFORMED, "a page with a change of a later revision than its own")
+            raise GatewayError(ErrorKind.MALFORMED, "page with a change of a later revision than its own")
--- a/irisstack/dynamic_settings/snapshot.py
+++ b/irisstack/dynamic_settings/snapshot.py
@@ -1,12 +1,12 @@
-"""The settings last accepted, kept in the lasting folder so that a restart needs no cluster.
+"""Saves the settings last accepted in the state directory, so that a restart does not need the cluster.
 
-One JSON file, `settings.json`: a version, a checksum and the settings. It is written to another name and then
-renamed, so that a process that ends midway leaves the old one. Nothing is synced: the folder outlives the
-process, not the machine, and a file that a crash of the machine has torn is found by its checksum.
+One JSON file, `settings.json`, holds a version, a checksum and the settings. It is written under another name
+and then renamed, so that a process that ends midway leaves the old file. Nothing is synced: the state
+directory is meant to survive the process, not the machine, and the checksum reveals a file that a crash of
+the machine has truncated.
 
-A file is `MAX_FILE_BYTES` at most, and while one is written there are two: `DISK_RESERVE_BYTES` of the room
-that `disk_mb` grants the folder are to be left to them. It is written with each accepted revision and never
-else.
+A file has at most `MAX_FILE_BYTES`, and there are two while one is being written: `DISK_RESERVE_BYTES` of the
+state directory's `disk_mb` are reserved for them. The file is written only when a revision is accepted.
 """
 
 import json
@@ -23,31 +23,31 @@
 NEW_FILE_NAME = "settings.json.new"
 FORMAT_VERSION = 1
 MAX_FILE_BYTES = 384 * 1024
-"""A document of 128 KiB, as much again for what it has retired, and room for the file's own marks."""
+"""Room for a document of 128 KiB, 128 KiB of retired definitions, and the file's own overhead."""
 DISK_RESERVE_BYTES = 2 * MAX_FILE_BYTES
-"""What the file and the one about to take its place need of the folder's room."""
+"""Space reserved in the state directory for the file and its replacement."""
 
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, frozen=True)
 class SavedSettings:
-    """A document that was in force, and where in the stream of changes it stood."""
+    """A document that was in force, with its cluster and revision."""
 
     cluster_id: int
     revision: int
     items: Mapping[str, Any]
-    """The values by their path below the prefix."""
+    """Values by path below the prefix."""
     retired: Mapping[str, Any] = field(default_factory=dict)
-    """What the settings no longer name but messages may still be owed under."""
+    """Removed definitions, by path, that pending messages may still need."""
 
 
 class InvalidFileError(Exception):
-    """The file holds no settings; the text says why."""
+    """The file or the settings to be written are invalid; the text says why."""
 
 
 class SavedSettingsFile:
-    """The file in one folder. No trouble with it ever ends the node: it is one line of the log."""
+    """The file in one state directory. An error is logged in one line and never ends the node."""
 
     def __init__(self, state_directory: Path) -> None:
         self._path = state_directory / FILE_NAME
@@ -56,9 +56,9 @@
         self._saved: SavedSettings | None = None
 
     def load(self) -> SavedSettings | None:
-        """What an earlier life saved; `None` if there is nothing, or nothing that can be used.
+        """The settings that the previous process saved; `None` if there are none that can be used.
 
-        The file is read once, however often it is asked for.
+        The file is read only on the first call.
         """
         if not self._loaded:
             self._loaded = True
@@ -77,7 +77,7 @@
         return None
 
     def save(self, settings: SavedSettings) -> bool:
-        """Replace the file; returns whether that went well. If it did not, the old file stays."""
+        """Replace the file; returns whether it succeeded. After an error the old file stays."""
         try:
             data = _encode(settings)
             self._write(data)
@@ -103,43 +103,43 @@
 
 
 def _encode(settings: SavedSettings) -> bytes:
-    # Not `asdict`: it copies each value of the document, which takes longer than all the rest.
+    # `asdict` would copy every value of the document, which takes longer than everything else here.
     body = _canonical_json({entry.name: getattr(settings, entry.name) for entry in fields(settings)})
     header = {"version": FORMAT_VERSION, "crc32": zlib.crc32(body)}
     data = _canonical_json(header)[:-1] + b',"settings":' + body + b"}\n"
     if len(data) > MAX_FILE_BYTES:
-        raise InvalidFileError(f"{MAX_FILE_BYTES} bytes at most are due, not {len(data)}")
+        raise InvalidFileError(f"expected at most {MAX_FILE_BYTES} bytes, got {len(data)}")
     return data
 
 
 def _decode(data: bytes) -> SavedSettings:
     if len(data) > MAX_FILE_BYTES:
-        raise InvalidFileError(f"{MAX_FILE_BYTES} bytes at most are due")
+        raise InvalidFileError(f"expected at most {MAX_FILE_BYTES} bytes")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
-        raise InvalidFileError("no JSON, perhaps torn") from None
+        raise InvalidFileError("expected JSON; the file may be truncated") from None
     if not isinstance(raw, dict):
-        raise InvalidFileError("an object is due")
+        raise InvalidFileError("expected an object")
     if raw.get("version") != FORMAT_VERSION:
-        raise InvalidFileError(f"version {FORMAT_VERSION} is due, not {str(raw.get('version'))[:20]!r}")
+        raise InvalidFileError(f"expected version {FORMAT_VERSION}, got {str(raw.get('version'))[:20]!r}")
     settings = raw.get("settings")
     if not isinstance(settings, dict) or raw.get("crc32") != zlib.crc32(_canonical_json(settings)):
-        raise InvalidFileError("the checksum does not fit")
+        raise InvalidFileError("checksum mismatch")
     try:
         return _validated_settings(**settings)
     except TypeError:
-        raise InvalidFileError("cluster_id, revision, items and retired are due") from None
+        raise InvalidFileError("settings: expected cluster_id, revision, items and retired") from None
 
 
 def _validated_settings(
     cluster_id: int, revision: int, items: dict[str, Any], retired: dict[str, Any]
 ) -> SavedSettings:
-    """Raises `TypeError` for what has the wrong type."""
+    """The settings from their fields; raises `TypeError` for a value of the wrong type."""
     if type(cluster_id) is not int or type(revision) is not int:
-        raise TypeError("whole numbers are due")
+        raise TypeError("expected integers")
     if not isinstance(items, dict) or not isinstance(retired, dict):
-        raise TypeError("objects are due")
+        raise TypeError("expected objects")
     return SavedSettings(cluster_id, revision, items, retired)
 
 
@@ -148,5 +148,5 @@
     try:
         text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
     except (TypeError, ValueError, RecursionError) as error:
-        raise InvalidFileError(f"no JSON: {error}") from None
+        raise InvalidFileError(f"expected a JSON value: {error}") from None
     return text.encode("utf-8", "surrogatepass")
--- a/irisstack/dynamic_settings/staleness.py
+++ b/irisstack/dynamic_settings/staleness.py
@@ -1,13 +1,13 @@
-"""For how long nobody has confirmed that what the node holds is the newest."""
+"""Reports settings that have not been confirmed as current for too long."""
 
 from irisstack.dynamic_settings.events import Action, IncrementCounter, Log, LogLevel
 
 STALE_AFTER_S = 18.0
-"""Seconds without confirmation after which that is said."""
+"""Seconds without confirmation after which the settings are reported as stale."""
 
 
 class StalenessMonitor:
-    """Says once that the settings are stale, and once that they no longer are."""
+    """Logs once that the settings became stale and once that they are current again."""
 
     def __init__(self, now: float) -> None:
         self._confirmed_at = now
@@ -15,11 +15,11 @@
 
     @property
     def stale_at(self) -> float | None:
-        """When the settings become stale; `None` if they are."""
+        """When the settings become stale; `None` if they already are."""
         return None if self._is_stale else self._confirmed_at + STALE_AFTER_S
 
     def confirm(self, now: float, at: float, revision: int) -> list[Action]:
-        """What is held was the newest at that time."""
+        """Record that the settings were current at the time `at`; returns the log line, if one is due."""
         self._confirmed_at = max(self._confirmed_at, at)
         if not self._is_stale or now >= self._confirmed_at + STALE_AFTER_S:
             return []
@@ -27,7 +27,7 @@
         return [Log(LogLevel.INFO, "settings_fresh_again", {"revision": revision})]
 
     def check(self, now: float, revision: int) -> list[Action]:
-        """What is to be said as time passes."""
+        """The log line and the counter if the settings have become stale."""
         if self._is_stale or now < self._confirmed_at + STALE_AFTER_S:
             return []
         self._is_stale = True
--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -1,7 +1,7 @@
-"""Ranges of the settings: a change that a running node could not work with is refused before it is taken.
+"""Range checks of the settings, so that a change that a running node could not work with is refused.
 
-Pure. `irisstack.settings` checks types; a node started with an odd value is seen at once to fail, while a
-change meets a whole fleet that serves. Each check names the path of the value first.
+Pure functions. `irisstack.settings` checks types only: a node started with an invalid value visibly fails at
+once, but a dynamic change reaches a whole fleet in service. Errors begin with the path of the value.
 """
 
 from collections import Counter
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True, frozen=True)
 class NumberRange:
-    """The values that one number of the settings may have."""
+    """The range of one number of the settings: from `minimum` up."""
 
     path: str
     field: str
     minimum: float
     exclusive: bool = False
-    """Whether the least value itself is out."""
+    """Whether the minimum itself is not allowed."""
 
 
 RANGES = (
@@ -56,7 +56,7 @@
     if settings.list_refresh_interval is not None:
         _check_range("invariants.askWithin", settings.list_refresh_interval, 0, exclusive=True)
     if not settings.kinds:
-        raise SettingsError("kinds: at least one kind is due")
+        raise SettingsError("kinds: expected at least one kind")
     _check_names("lanes", (message_class.name for message_class in settings.classes))
     _check_names("kinds", (kind.name for kind in settings.kinds))
     _check_names("tenants", (tenant.name for tenant in settings.tenants))
@@ -80,14 +80,14 @@
 def _check_range(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
     if value < minimum or (exclusive and value == minimum):
         raise SettingsError(
-            f"{path}: {'above ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'} is due,"
-            f" not {value:g}"
+            f"{path}: expected {'above ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'},"
+            f" got {value:g}"
         )
 
 
 def _check_names(path: str, names: Iterable[str]) -> None:
     for name, count in Counter(names).items():
         if not name:
-            raise SettingsError(f"{path}: a name is due")
+            raise SettingsError(f"{path}: expected a name that is not empty")
         if count > 1:
-            raise SettingsError(f"{path}/{name}: is there {count} times")
+            raise SettingsError(f"{path}/{name}: expected once, got {count} times")
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -79,7 +79,7 @@
     [
         ({"allowed/attemptsCap": "three"}, "attemptsCap"),
         ({"lanes/fast": {"name": "fast"}}, "lanes"),
-        ({"overShareWorth": 0.5, "x": "y" * 140_000}, "131072 bytes at most"),
+        ({"overShareWorth": 0.5, "x": "y" * 140_000}, "at most 131072 bytes"),
     ],
 )
 @pytest.mark.parametrize("verb", ["check", "publish"])
--- a/tests/dynamic_settings/test_budget.py
+++ b/tests/dynamic_settings/test_budget.py
@@ -1,4 +1,4 @@
-"""The byte budget over any time, however it is spent."""
+"""The byte budget keeps its limit in every period, however it is spent."""
 
 import pytest
 from hypothesis import given
@@ -25,7 +25,7 @@
     for pause, size in steps:
         now += pause
         now += budget.delay(now)
-        assert budget.delay(now) == 0.0, "the wait that was asked for is enough"
+        assert budget.delay(now) == 0.0, "the returned delay is sufficient"
         budget.spend(now, size)
         spent.append((now, size))
     for first, (started_at, _) in enumerate(spent):
--- a/tests/dynamic_settings/test_decisions.py
+++ b/tests/dynamic_settings/test_decisions.py
@@ -168,13 +168,13 @@
 
 
 BAD_VALUES = {
-    "no JSON": (b"{", "JSON is due"),
-    "empty": (b"", "JSON is due"),
-    "not UTF-8": (b'"\xff"', "JSON is due"),
-    "NaN": (b"NaN", "JSON is due"),
-    "a number out of range": (b"1e999", "JSON is due"),
-    "too deep": (b"[" * 60_000, "JSON is due"),
-    "too large": (b" " * (MAX_DOCUMENT_BYTES + 1), "131072 bytes at most are due, not 131073"),
+    "not JSON": (b"{", "expected JSON"),
+    "empty": (b"", "expected JSON"),
+    "not UTF-8": (b'"\xff"', "expected JSON"),
+    "NaN": (b"NaN", "expected JSON"),
+    "a number out of range": (b"1e999", "expected JSON"),
+    "nested too deeply": (b"[" * 60_000, "expected JSON"),
+    "too large": (b" " * (MAX_DOCUMENT_BYTES + 1), "expected at most 131072 bytes, got 131073"),
 }
 
 
@@ -199,7 +199,7 @@
     node = settled_node(cluster)
     cluster.commit([Change(PREFIX + b"\xff\n", b"1")])
     cluster.loop.run_for(1.0)
-    assert node.logged("settings_refused")[0].fields["reason"] == "\ufffd?: a path in UTF-8 is due"
+    assert node.logged("settings_refused")[0].fields["reason"] == "\ufffd?: expected a path in UTF-8"
     assert node.document == {"good": 1}
 
 
@@ -213,7 +213,7 @@
     cluster.write({"b": half})
     cluster.loop.run_for(12.0)
     assert set(node.document) == {"good", "a"}
-    assert "131072 bytes at most are due" in node.logged("settings_refused")[0].fields["reason"]
+    assert "expected at most 131072 bytes, got " in node.logged("settings_refused")[0].fields["reason"]
     cluster.write({"a": None})
     cluster.loop.run_for(2.0)
     assert set(node.document) == {"good", "b"}
@@ -391,7 +391,7 @@
     ),
     "a change newer than the frame": frame_with_changes([(9, [Change(PREFIX + b"n", b"7")])], 8),
     "a key of another prefix": frame_with_changes([(9, [Change(b"/other", b"7")])], 9),
-    "no JSON": b"{",
+    "not JSON": b"{",
     "another cluster": created_frame(9, cluster=5),
 }
 
--- a/tests/dynamic_settings/test_document.py
+++ b/tests/dynamic_settings/test_document.py
@@ -1,4 +1,4 @@
-"""A settings document out of a file's settings object and the items of a stream."""
+"""Composing a settings document from the settings of a file and items, and the ranges of its values."""
 
 import json
 from typing import Any
@@ -32,8 +32,8 @@
     before = json.dumps(SETTINGS)
     settings = compose_settings({"allowed/attemptsCap": 9, "balancers": 840, "invariants": {"cold": 7.5}})
     assert (settings.max_attempts, settings.senders, settings.warmup_seconds) == (9, 840, 7.5)
-    assert settings.max_pending == 60, "its neighbours stay"
-    assert settings.overload_multiple == 2.5, "an object is laid over key by key"
+    assert settings.max_pending == 60, "other keys of the object stay"
+    assert settings.overload_multiple == 2.5, "objects are merged key by key"
     assert json.dumps(SETTINGS) == before
 
 
@@ -45,7 +45,7 @@
     settings = compose_settings(
         {"lanes/new": CLASS_ITEM, "lanes/unsafe": {**CLASS_ITEM, "repeat": "non_idempotent"}}
     )
-    assert names(settings.classes) == ["unsafe", "new"], "what the file has comes first, in its order"
+    assert names(settings.classes) == ["unsafe", "new"], "members that the file lists come first"
     assert names(settings.tenants) == ["acme"], "the other lists are the file's"
     assert names(settings.kinds) == ["plain", "shared"]
 
--- a/tests/dynamic_settings/test_etcd.py
+++ b/tests/dynamic_settings/test_etcd.py
@@ -1,4 +1,4 @@
-"""Bytes of etcd's JSON gateway, good, hostile and torn."""
+"""Codec of etcd's JSON gateway: valid, malformed and truncated bytes."""
 
 import base64
 import json
@@ -94,7 +94,7 @@
 
 
 def test_a_canceled_watch_reports_the_compact_revision() -> None:
-    header = {"cluster_id": "1", "member_id": "2", "raft_term": "2"}  # without a revision, as in etcd
+    header = {"cluster_id": "1", "member_id": "2", "raft_term": "2"}  # no revision, as in etcd
     result = {"header": header, "canceled": True, "compact_revision": "7", "cancel_reason": "old\nnews"}
     response = etcd.parse_watch_response(json.dumps({"result": result}).encode())
     assert (response.canceled, response.compact_revision, response.cancel_reason) == (True, 7, "old?news")
@@ -146,25 +146,25 @@
 
 
 BAD_RESPONSES = {
-    "torn": b'{"header": {"rev',
-    "no object": b"[]",
+    "truncated": b'{"header": {"rev',
+    "not an object": b"[]",
     "not UTF-8": b'{"header": "\xff"}',
-    "too deep": b'{"header":' + b"[" * 100_000,
+    "nested too deeply": b'{"header":' + b"[" * 100_000,
     "no header": b"{}",
     "header of another type": b'{"header": 3}',
     "no revision": b'{"header": {}}',
     "revision over 64 bits": b'{"header": {"revision": "9223372036854775808"}}',
     "revision of many digits": b'{"header": {"revision": ' + b"9" * 10_000 + b"}}",
-    "revision in words": b'{"header": {"revision": "seven"}}',
-    "revision in other digits": '{"header": {"revision": "\u0663"}}'.encode(),
+    "revision as a word": b'{"header": {"revision": "seven"}}',
+    "revision in non-ASCII digits": '{"header": {"revision": "\u0663"}}'.encode(),
     "negative revision": b'{"header": {"revision": -1}}',
-    "revision true": b'{"header": {"revision": true}}',
-    "kvs no list": b'{"header": {"revision": 1}, "kvs": {}}',
-    "kv no object": b'{"header": {"revision": 1}, "kvs": [1]}',
-    "key no base64": b'{"header": {"revision": 1}, "kvs": [{"key": "%"}]}',
+    "boolean revision": b'{"header": {"revision": true}}',
+    "kvs not a list": b'{"header": {"revision": 1}, "kvs": {}}',
+    "kv not an object": b'{"header": {"revision": 1}, "kvs": [1]}',
+    "key not base64": b'{"header": {"revision": 1}, "kvs": [{"key": "%"}]}',
     "key of another type": b'{"header": {"revision": 1}, "kvs": [{"key": 1}]}',
-    "more no flag": b'{"header": {"revision": 1}, "more": "yes"}',
-    "deep where an integer is due": b'{"header": {"revision": ' + b"[" * 500 + b"]" * 500 + b"}}",
+    "more not a boolean": b'{"header": {"revision": 1}, "more": "yes"}',
+    "nested list instead of an integer": b'{"header": {"revision": ' + b"[" * 500 + b"]" * 500 + b"}}",
 }
 
 
@@ -208,7 +208,7 @@
 
 
 def error_text(read: Callable[[bytes], object], body: bytes) -> str:
-    """The text of the gateway's error, empty if there is none; any other error fails the test."""
+    """The text of the `GatewayError`, empty if there is none; any other error fails the test."""
     try:
         read(body)
     except GatewayError as error:
@@ -217,7 +217,7 @@
 
 
 def corrupted(raw: Any, data: st.DataObject) -> Any:
-    """The value with one part of it replaced."""
+    """The value with a random part of it replaced."""
     if isinstance(raw, dict) and raw and data.draw(st.booleans()):
         key = data.draw(st.sampled_from(sorted(raw)))
         return {**raw, key: corrupted(raw[key], data)}
--- a/tests/dynamic_settings/test_members.py
+++ b/tests/dynamic_settings/test_members.py
@@ -1,4 +1,4 @@
-"""Which member is asked: kept while it works, passed over while it is suspect."""
+"""Selection of the member to call: kept while it works, avoided while it is suspect."""
 
 from collections import Counter
 from random import Random
--- a/tests/dynamic_settings/test_merge.py
+++ b/tests/dynamic_settings/test_merge.py
@@ -1,4 +1,4 @@
-"""Proposed settings under the positions of those in force."""
+"""Merging proposed settings into those in force, with stable positions."""
 
 import re
 from dataclasses import fields, replace
@@ -56,7 +56,7 @@
     assert [tenant.name for tenant in merged.tenants] == ["acme", "zeta", "beta"]
     assert merged.tenants[1].rate == 2.0
     assert merged.zones == ("here", "there", "yonder")
-    assert merged.zone == 0, "the own zone is the same by name"
+    assert merged.zone == 0, "the node's zone is the same by name"
 
 
 def test_a_class_that_returns_takes_its_old_position() -> None:
@@ -106,7 +106,7 @@
 
 
 def other_value(field: str) -> Any:
-    """A value that differs from the one in force."""
+    """A value of the field that differs from the one in force."""
     value = getattr(IN_FORCE, field)
     if field in OTHER_VALUES:
         return OTHER_VALUES[field]
@@ -144,7 +144,7 @@
     settings = IN_FORCE
     for number in range(2):
         settings = merge(settings, replace(IN_FORCE, classes=(SAFE, replace(SAFE, name=f"c{number}"))))
-    with pytest.raises(SettingsError, match=r"^lanes: 6 at most"):
+    with pytest.raises(SettingsError, match=r"^lanes: expected at most 6 "):
         merge(settings, replace(IN_FORCE, classes=(replace(SAFE, name="c2"),)))
     merge(settings, replace(IN_FORCE, classes=(replace(SAFE, name="c1"),)))
 
--- a/tests/dynamic_settings/test_snapshot.py
+++ b/tests/dynamic_settings/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The file of the settings last accepted: torn, of another version, too large, on a full disk."""
+"""The file of the settings last accepted: truncated, of another version, too large, on a full disk."""
 
 import json
 import os
@@ -48,7 +48,7 @@
     SavedSettingsFile(tmp_path).save(SAVED)
     path = tmp_path / "settings.json"
     whole = path.read_bytes()
-    for size in range(len(whole) - 1):  # without the last byte, a line's end, it is still whole
+    for size in range(len(whole) - 1):  # without the last byte, a newline, the file is still valid
         path.write_bytes(whole[:size])
         assert events_logged_on_load(tmp_path) == ["settings_file_unread"], size
 
@@ -64,10 +64,10 @@
     "another version": b'{"version": 2, "crc32": 0, "settings": {}}',
     "a version of another type": b'{"version": [1], "crc32": 0, "settings": {}}',
     "empty": b"",
-    "no object": b"[]",
-    "settings no object": b'{"version": 1, "crc32": 0, "settings": 1}',
+    "not an object": b"[]",
+    "settings not an object": b'{"version": 1, "crc32": 0, "settings": 1}',
     "no settings": b'{"version": 1}',
-    "deep": b"[" * 100_000,
+    "nested too deeply": b"[" * 100_000,
     "too large": b" " * (snapshot.MAX_FILE_BYTES + 1),
     "not UTF-8": b'{"version": 1, "x": "\xff\xfe"}',
 }
