--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -54,7 +54,7 @@
     for path in sorted(items):
         if path.partition("/")[0] not in MEMBER_LISTS:
             document = _overlay_at(document, path, path.split("/"), items[path])
-    lists = {name: _members(items, name) for name in MEMBER_LISTS}
+    lists = {name: _items_of_list(items, name) for name in MEMBER_LISTS}
     if lists[LANES]:
         document["lanes"] = _ordered_values(base.get("lanes"), _class_items(lists[LANES]))
     if lists[TENANTS]:
@@ -163,12 +163,12 @@
 def _overlay_at(base: Mapping[str, Any], path: str, parts: list[str], value: Any) -> dict[str, Any]:
     """A copy of `base` in which `value` overrides the value at `parts`."""
     first, rest = parts[0], parts[1:]
-    present = base.get(first)
+    existing = base.get(first)
     if not rest:
-        return {**base, first: _overlay(path, present, value)}
-    if present is not None and not isinstance(present, Mapping):
+        return {**base, first: _overlay(path, existing, value)}
+    if existing is not None and not isinstance(existing, Mapping):
         raise SettingsError(f"{path}: {first} is not an object, so nothing can be set inside it")
-    return {**base, first: _overlay_at(present or {}, path, rest, value)}
+    return {**base, first: _overlay_at(existing or {}, path, rest, value)}
 
 
 def _overlay(path: str, base: Any, override: Any) -> Any:
@@ -185,7 +185,7 @@
 # ---- lists whose members are items ----
 
 
-def _members(items: Mapping[str, Any], list_name: str) -> dict[str, Any]:
+def _items_of_list(items: Mapping[str, Any], list_name: str) -> dict[str, Any]:
     """The items that define members of one list, by the member's name."""
     prefix = f"{list_name}/"
     return {path.removeprefix(prefix): items[path] for path in sorted(items) if path.startswith(prefix)}
@@ -254,19 +254,19 @@
 
 
 def _with_retired(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
-    document = _with_retired_lanes(document, _class_items(_members(retired, LANES)))
-    kinds = _parse_kinds(_members(retired, KINDS))
+    document = _with_retired_lanes(document, _class_items(_items_of_list(retired, LANES)))
+    kinds = _parse_kinds(_items_of_list(retired, KINDS))
     return _with_retired_kinds(document, kinds) if kinds else document
 
 
 def _with_retired_lanes(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
     if not retired:
         return document
-    present = {reader.text("name"): message_class(reader) for reader in Reader(document).sections("lanes")}
+    existing = {reader.text("name"): message_class(reader) for reader in Reader(document).sections("lanes")}
     added = []
     for name, value in retired.items():
-        if name in present:
-            check_class_compatible(present[name], message_class(Reader(value)))
+        if name in existing:
+            check_class_compatible(existing[name], message_class(Reader(value)))
         else:
             added.append(value)
     return {**document, "lanes": [*document["lanes"], *added]}
@@ -279,11 +279,11 @@
         extra.per_name("batchByKind", names, 1),
         extra.per_name("separateRoutes", names, False),
     )
-    present = dict(zip(names, map(DestinationKind, names, max_batches, separate_routes), strict=True))
-    for name in retired.keys() & present.keys():
-        check_kind_compatible(present[name], retired[name])
-    added = [kind for name, kind in retired.items() if name not in present]
-    return _with_kinds(document, [*present.values(), *added])
+    existing = dict(zip(names, map(DestinationKind, names, max_batches, separate_routes), strict=True))
+    for name in retired.keys() & existing.keys():
+        check_kind_compatible(existing[name], retired[name])
+    added = [kind for name, kind in retired.items() if name not in existing]
+    return _with_kinds(document, [*existing.values(), *added])
 
 
 # ---- compatibility of definitions under one name ----
--- a/irisstack/dynamic_settings/merge.py
+++ b/irisstack/dynamic_settings/merge.py
@@ -148,7 +148,7 @@
         zones=tuple(dict.fromkeys((*in_force.zones, *proposed.zones))),
         zone=in_force.zone,
     )
-    _check_count("failureDomains", len(merged.zones))
+    _check_position_count("failureDomains", len(merged.zones))
     return merged
 
 
@@ -202,11 +202,11 @@
     known = {member.name for member in in_force}
     kept = [by_name.get(member.name, member) for member in in_force]
     merged = (*kept, *(member for member in proposed if member.name not in known))
-    _check_count(path, len(merged))
+    _check_position_count(path, len(merged))
     return merged
 
 
-def _check_count(path: str, count: int) -> None:
+def _check_position_count(path: str, count: int) -> None:
     if count > MAX_POSITIONS:
         raise SettingsError(
             f"{path}: expected at most {MAX_POSITIONS} including removed ones, got {count};"
--- a/irisstack/dynamic_settings/snapshot.py
+++ b/irisstack/dynamic_settings/snapshot.py
@@ -104,7 +104,9 @@
 
 def _encode(settings: SavedSettings) -> bytes:
     # `asdict` would copy every value of the document, which takes longer than everything else here.
-    body = _canonical_json({entry.name: getattr(settings, entry.name) for entry in fields(settings)})
+    body = _canonical_json(
+        {attribute.name: getattr(settings, attribute.name) for attribute in fields(settings)}
+    )
     header = {"version": FORMAT_VERSION, "crc32": zlib.crc32(body)}
     data = _canonical_json(header)[:-1] + b',"settings":' + body + b"}\n"
     if len(data) > MAX_FILE_BYTES:
--- a/irisstack/dynamic_settings/staleness.py
+++ b/irisstack/dynamic_settings/staleness.py
@@ -18,9 +18,9 @@
         """When the settings become stale; `None` if they already are."""
         return None if self._is_stale else self._confirmed_at + STALE_AFTER_S
 
-    def confirm(self, now: float, at: float, revision: int) -> list[Action]:
-        """Record that the settings were current at the time `at`; returns the log line, if one is due."""
-        self._confirmed_at = max(self._confirmed_at, at)
+    def confirm(self, now: float, confirmed_at: float, revision: int) -> list[Action]:
+        """Record that the settings were current at `confirmed_at`; returns the log line, if one is due."""
+        self._confirmed_at = max(self._confirmed_at, confirmed_at)
         if not self._is_stale or now >= self._confirmed_at + STALE_AFTER_S:
             return []
         self._is_stale = False
--- a/tests/dynamic_settings/test_members.py
+++ b/tests/dynamic_settings/test_members.py
@@ -15,11 +15,11 @@
 
 def test_members_take_turns_while_all_fail() -> None:
     members = Members(NAMES, Random(1))
-    asked = []
+    picked = []
     for _ in range(14):
-        asked.append(members.pick(0.0))
-        members.record_failure(asked[-1], 0.0)
-    assert Counter(asked) == dict.fromkeys(NAMES, 2)
+        picked.append(members.pick(0.0))
+        members.record_failure(picked[-1], 0.0)
+    assert Counter(picked) == dict.fromkeys(NAMES, 2)
 
 
 def test_a_failed_member_is_avoided_for_a_while() -> None:
@@ -35,11 +35,11 @@
 
 def test_a_failure_does_not_shorten_the_suspicion_after_a_contradiction() -> None:
     members = Members(NAMES, Random(1))
-    contradicting = members.pick(0.0)
-    members.record_failure(contradicting, 0.0, CONTRADICTION_SUSPICION_S)
-    members.record_failure(contradicting, 1.0)
-    assert members.is_suspect(contradicting, CONTRADICTION_SUSPICION_S - 1.0)
-    assert not members.is_suspect(contradicting, CONTRADICTION_SUSPICION_S)
+    contradicting_member = members.pick(0.0)
+    members.record_failure(contradicting_member, 0.0, CONTRADICTION_SUSPICION_S)
+    members.record_failure(contradicting_member, 1.0)
+    assert members.is_suspect(contradicting_member, CONTRADICTION_SUSPICION_S - 1.0)
+    assert not members.is_suspect(contradicting_member, CONTRADICTION_SUSPICION_S)
 
 
 def test_a_success_ends_the_suspicion() -> None:
--- a/tests/dynamic_settings/test_merge.py
+++ b/tests/dynamic_settings/test_merge.py
@@ -60,8 +60,8 @@
 
 
 def test_a_class_that_returns_takes_its_old_position() -> None:
-    without = merge(IN_FORCE, replace(IN_FORCE, classes=(SAFE, UNSAFE)))
-    merged = merge(without, replace(IN_FORCE, classes=(replace(KEYED, worth=5.0), SAFE)))
+    reduced = merge(IN_FORCE, replace(IN_FORCE, classes=(SAFE, UNSAFE)))
+    merged = merge(reduced, replace(IN_FORCE, classes=(replace(KEYED, worth=5.0), SAFE)))
     assert [kind.name for kind in merged.classes] == [kind.name for kind in CLASSES]
     assert merged.classes[1].worth == 5.0
 
@@ -78,17 +78,17 @@
 )
 def test_retry_safety_cannot_change_under_one_name(other: api.MessageClass) -> None:
     assert refusal_reason(classes=(SAFE, other)).startswith("lanes/keyed.")
-    without = merge(IN_FORCE, replace(IN_FORCE, classes=(SAFE,)))
+    reduced = merge(IN_FORCE, replace(IN_FORCE, classes=(SAFE,)))
     with pytest.raises(SettingsError, match=r"^lanes/keyed\."):
-        merge(without, replace(IN_FORCE, classes=(SAFE, other)))
+        merge(reduced, replace(IN_FORCE, classes=(SAFE, other)))
 
 
 def test_separate_routes_cannot_change_under_one_name() -> None:
-    separate = replace(IN_FORCE.kinds[0], separate_routes=True)
-    assert refusal_reason(kinds=(separate,)).startswith("kinds/plain.separateRoutes: ")
-    without = merge(IN_FORCE, replace(IN_FORCE, kinds=(IN_FORCE.kinds[1],)))
+    separate_kind = replace(IN_FORCE.kinds[0], separate_routes=True)
+    assert refusal_reason(kinds=(separate_kind,)).startswith("kinds/plain.separateRoutes: ")
+    reduced = merge(IN_FORCE, replace(IN_FORCE, kinds=(IN_FORCE.kinds[1],)))
     with pytest.raises(SettingsError, match=r"^kinds/plain\."):
-        merge(without, replace(IN_FORCE, kinds=(separate,)))
+        merge(reduced, replace(IN_FORCE, kinds=(separate_kind,)))
 
 
 def test_every_field_has_a_rule_with_a_reason() -> None:
--- a/tests/dynamic_settings/test_snapshot.py
+++ b/tests/dynamic_settings/test_snapshot.py
@@ -47,9 +47,9 @@
 def test_a_file_truncated_anywhere_is_logged_once_and_not_used(tmp_path: Path) -> None:
     SavedSettingsFile(tmp_path).save(SAVED)
     path = tmp_path / "settings.json"
-    whole = path.read_bytes()
-    for size in range(len(whole) - 1):  # without the last byte, a newline, the file is still valid
-        path.write_bytes(whole[:size])
+    content = path.read_bytes()
+    for size in range(len(content) - 1):  # without the last byte, a newline, the file is still valid
+        path.write_bytes(content[:size])
         assert events_logged_on_load(tmp_path) == ["settings_file_unread"], size
 
 
