--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -254,12 +254,12 @@
 
 
 def _with_retired(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
-    document = _with_retired_lanes(document, _class_items(_items_of_list(retired, LANES)))
+    document = _with_retired_classes(document, _class_items(_items_of_list(retired, LANES)))
     kinds = _parse_kinds(_items_of_list(retired, KINDS))
     return _with_retired_kinds(document, kinds) if kinds else document
 
 
-def _with_retired_lanes(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
+def _with_retired_classes(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
     if not retired:
         return document
     existing = {reader.text("name"): message_class(reader) for reader in Reader(document).sections("lanes")}
--- a/irisstack/dynamic_settings/pages.py
+++ b/irisstack/dynamic_settings/pages.py
@@ -34,22 +34,22 @@
             self._next_key, prefix_range_end(self._prefix), revision=self.revision, limit=MAX_PAGE_KEYS
         )
 
-    def add_page(self, answer: RangeResponse) -> bool:
+    def add_page(self, response: RangeResponse) -> bool:
         """Add a page; returns whether it was the last one.
 
         Raises `GatewayError` for a page that is inconsistent with the request, and `DocumentTooLargeError`.
         """
         if not self.revision:
-            self.revision = answer.header.revision
-            self.cluster_id = answer.header.cluster_id
-        if answer.header.cluster_id != self.cluster_id:
+            self.revision = response.header.revision
+            self.cluster_id = response.header.cluster_id
+        if response.header.cluster_id != self.cluster_id:
             raise GatewayError(ErrorKind.MALFORMED, "page of another cluster than the first page's")
         last_key = b""
-        for item in answer.items:
+        for item in response.items:
             self._validate_item(item, last_key)
             last_key = item.key
             self.items.put(item)
-        if answer.more:
+        if response.more:
             if not last_key:
                 raise GatewayError(ErrorKind.MALFORMED, "empty page that announces more pages")
             self._next_key = key_after(last_key)
