--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -192,12 +192,14 @@
 
 
 def _class_items(members: Mapping[str, Any]) -> dict[str, Any]:
+    """The classes' definitions by name, with the name in each; raises `SettingsError` for an invalid one."""
     for name, value in members.items():
         message_class(Reader({**value, "name": name}, f"{LANES}/{name}"))
     return {name: {**value, "name": name} for name, value in members.items()}
 
 
 def _tenant_items(members: Mapping[str, Any]) -> dict[str, Any]:
+    """The same for the tenants."""
     for name, value in members.items():
         tenant(Reader({**value, "name": name}, f"{TENANTS}/{name}"))
     return {name: {**value, "name": name} for name, value in members.items()}
@@ -228,6 +230,7 @@
 
 
 def _ordered_names(first: Iterable[Any], names: Iterable[str]) -> list[str]:
+    """The names, with those in `first` leading in that order and the others sorted."""
     known = set(names)
     leading = [name for name in dict.fromkeys(first) if name in known]
     return [*leading, *sorted(known - set(leading))]
--- a/irisstack/dynamic_settings/members.py
+++ b/irisstack/dynamic_settings/members.py
@@ -42,7 +42,7 @@
         return random.choice(trusted or self._order)
 
     def is_suspect(self, name: str, now: float) -> bool:
-        """Whether the member failed or contradicted itself recently."""
+        """Whether the member failed or sent a contradicting response recently."""
         return now < self._suspect_until.get(name, 0.0)
 
     def prefer(self, name: str) -> None:
@@ -54,7 +54,7 @@
         self._suspect_until.pop(name, None)
 
     def record_failure(self, name: str, now: float, suspect_for: float = FAILURE_SUSPICION_S) -> None:
-        """Mark a member as suspect, in seconds; if it is the preferred one, prefer the next in order."""
+        """Mark a member as suspect for some seconds; if it is the preferred one, prefer the next in order."""
         self._suspect_until[name] = max(now + suspect_for, self._suspect_until.get(name, 0.0))
         if self._order[self._preferred] == name:
             self._preferred = (self._preferred + 1) % len(self._order)
--- a/irisstack/dynamic_settings/snapshot.py
+++ b/irisstack/dynamic_settings/snapshot.py
@@ -23,9 +23,9 @@
 NEW_FILE_NAME = "settings.json.new"
 FORMAT_VERSION = 1
 MAX_FILE_BYTES = 384 * 1024
-"""Room for a document of 128 KiB, 128 KiB of retired definitions, and the file's own overhead."""
+"""Largest file: a document of 128 KiB, 128 KiB of retired definitions and the file's own overhead."""
 DISK_RESERVE_BYTES = 2 * MAX_FILE_BYTES
-"""Space reserved in the state directory for the file and its replacement."""
+"""Space to reserve in the state directory for the file and its replacement."""
 
 log = structlog.get_logger()
 
--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -47,12 +47,7 @@
 def check_values(settings: Settings) -> None:
     """Raise `SettingsError` for the first value that is out of its range."""
     for limit in RANGES:
-        _check_range(
-            limit.path,
-            getattr(settings, limit.field),
-            limit.minimum,
-            limit.exclusive,
-        )
+        _check_range(limit.path, getattr(settings, limit.field), limit.minimum, limit.exclusive)
     if settings.list_refresh_interval is not None:
         _check_range("invariants.askWithin", settings.list_refresh_interval, 0, exclusive=True)
     if not settings.kinds:
@@ -80,7 +75,7 @@
 def _check_range(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
     if value < minimum or (exclusive and value == minimum):
         raise SettingsError(
-            f"{path}: expected {'above ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'},"
+            f"{path}: expected {'more than ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'},"
             f" got {value:g}"
         )
 
