--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -75,8 +75,8 @@
 def _check_range(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
     if value < minimum or (exclusive and value == minimum):
         raise SettingsError(
-            f"{path}: expected {'more than ' if exclusive else ''}{minimum:g}{'' if exclusive else ' or more'},"
-            f" got {value:g}"
+            f"{path}: expected {'more than ' if exclusive else ''}{minimum:g}"
+            f"{'' if exclusive else ' or more'}, got {value:g}"
         )
 
 
