--- a/irisstack/dynamic_settings/values.py
+++ b/irisstack/dynamic_settings/values.py
@@ -1,7 +1,7 @@
-"""Ranges of the settings: a change that a running node could not work with is refused before it is taken.
+"""Range checks of the settings, so that a change that a running node could not work with is refused.
 
-Pure. `irisstack.settings` checks types; a node started with an odd value is seen at once to fail, while a
-change meets a whole fleet that serves. Each check names the path of the value first.
+Pure functions. `irisstack.settings` checks types only: a node started with an invalid value visibly fails at
+once, but a dynamic change reaches a whole fleet in service. Errors begin with the path of the value.
 """
 
 from collections import Counter
@@ -13,75 +13,76 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Range:
-    """The values that one number of the settings may have."""
+class NumberRange:
+    """The range of one number of the settings: from `minimum` up."""
 
     path: str
     field: str
-    least: float
-    above: bool = False
-    """Whether the least value itself is out."""
+    minimum: float
+    exclusive: bool = False
+    """Whether the minimum itself is not allowed."""
 
 
 RANGES = (
-    Range("allowed.attemptsCap", "max_attempts", 1),
-    Range("allowed.mostHeld", "max_pending", 1),
-    Range("allowed.maxRetryAfter", "max_retry_after", 0),
-    Range("allowed.dialTimeout", "connect_timeout", 0),
-    Range("allowed.keepalive", "keepalive", 0),
-    Range("allowed.multiplex", "calls_per_connection", 1),
-    Range("balancers", "senders", 1),
-    Range("extra.maxCalls", "max_calls", 1),
-    Range("invariants.answerSlack", "answer_slack", 0),
-    Range("invariants.cold", "warmup_seconds", 0),
-    Range("invariants.drainGrace", "drain_grace", 0),
-    Range("invariants.fall", "overload_window", 0),
-    Range("invariants.orderPause", "order_pause", 0),
-    Range("invariants.startCapacity", "warmup_start_share", 0, above=True),
-    Range("invariants.tipMultiple", "overload_multiple", 0, above=True),
-    Range("overShareWorth", "over_share_worth", 0),
-    Range("resolution", "clock_resolution", 0),
+    NumberRange("allowed.attemptsCap", "max_attempts", 1),
+    NumberRange("allowed.mostHeld", "max_pending", 1),
+    NumberRange("allowed.maxRetryAfter", "max_retry_after", 0),
+    NumberRange("allowed.dialTimeout", "connect_timeout", 0),
+    NumberRange("allowed.keepalive", "keepalive", 0),
+    NumberRange("allowed.multiplex", "calls_per_connection", 1),
+    NumberRange("balancers", "senders", 1),
+    NumberRange("extra.maxCalls", "max_calls", 1),
+    NumberRange("invariants.answerSlack", "answer_slack", 0),
+    NumberRange("invariants.cold", "warmup_seconds", 0),
+    NumberRange("invariants.drainGrace", "drain_grace", 0),
+    NumberRange("invariants.fall", "overload_window", 0),
+    NumberRange("invariants.orderPause", "order_pause", 0),
+    NumberRange("invariants.startCapacity", "warmup_start_share", 0, exclusive=True),
+    NumberRange("invariants.tipMultiple", "overload_multiple", 0, exclusive=True),
+    NumberRange("overShareWorth", "over_share_worth", 0),
+    NumberRange("resolution", "clock_resolution", 0),
 )
 
 
 def check_values(settings: Settings) -> None:
     """Raise `SettingsError` for the first value that is out of its range."""
-    for bound in RANGES:
-        _check(bound.path, getattr(settings, bound.field), bound.least, bound.above)
+    for limit in RANGES:
+        _check_range(limit.path, getattr(settings, limit.field), limit.minimum, limit.exclusive)
     if settings.list_refresh_interval is not None:
-        _check("invariants.askWithin", settings.list_refresh_interval, 0, above=True)
+        _check_range("invariants.askWithin", settings.list_refresh_interval, 0, exclusive=True)
     if not settings.kinds:
-        raise SettingsError("kinds: at least one kind is due")
-    _check_names("lanes", (kind.name for kind in settings.classes))
+        raise SettingsError("kinds: expected at least one kind")
+    _check_names("lanes", (message_class.name for message_class in settings.classes))
     _check_names("kinds", (kind.name for kind in settings.kinds))
     _check_names("tenants", (tenant.name for tenant in settings.tenants))
     _check_names("failureDomains", settings.zones)
-    for kind in settings.classes:
-        _check_class(kind)
+    for message_class in settings.classes:
+        _check_class(message_class)
     for tenant in settings.tenants:
-        _check(f"tenants/{tenant.name}.allowancePerS", tenant.rate, 0)
-        _check(f"tenants/{tenant.name}.share", tenant.share, 0)
+        _check_range(f"tenants/{tenant.name}.allowancePerS", tenant.rate, 0)
+        _check_range(f"tenants/{tenant.name}.share", tenant.share, 0)
 
 
-def _check_class(kind: MessageClass) -> None:
-    path = f"lanes/{kind.name}"
-    _check(f"{path}.slo", kind.latency_target, 0, above=True)
-    _check(f"{path}.hardLimit", kind.deadline, kind.latency_target)
-    _check(f"{path}.importance", kind.worth, 0, above=True)
-    _check(f"{path}.lateValue", kind.late_worth, 0)
-    _check(f"{path}.window", kind.dedup_window, 0)
+def _check_class(message_class: MessageClass) -> None:
+    path = f"lanes/{message_class.name}"
+    _check_range(f"{path}.slo", message_class.latency_target, 0, exclusive=True)
+    _check_range(f"{path}.hardLimit", message_class.deadline, message_class.latency_target)
+    _check_range(f"{path}.importance", message_class.worth, 0, exclusive=True)
+    _check_range(f"{path}.lateValue", message_class.late_worth, 0)
+    _check_range(f"{path}.window", message_class.dedup_window, 0)
 
 
-def _check(path: str, value: float, least: float, above: bool = False) -> None:
-    if value < least or (above and value == least):
+def _check_range(path: str, value: float, minimum: float, exclusive: bool = False) -> None:
+    if value < minimum or (exclusive and value == minimum):
         raise SettingsError(
-            f"{path}: {'above ' if above else ''}{least:g}{'' if above else ' or more'} is due, not {value:g}"
+            f"{path}: expected {'more than ' if exclusive else ''}{minimum:g}"
+            f"{'' if exclusive else ' or more'}, got {value:g}"
         )
 
 
 def _check_names(path: str, names: Iterable[str]) -> None:
     for name, count in Counter(names).items():
         if not name:
-            raise SettingsError(f"{path}: a name is due")
+            raise SettingsError(f"{path}: expected a name that is not empty")
         if count > 1:
-            raise SettingsError(f"{path}/{name}: is there {count} times")
+            raise SettingsError(f"{path}/{name}: expected once, got {count} times")
