--- a/irisstack/cli/capacity.py
+++ b/irisstack/cli/capacity.py
@@ -10,20 +10,20 @@
 if TYPE_CHECKING:
     from irisstack.lab.capacity.outlook import Outlook
 
-RESULTS = Path("docs/measurements/capacity")
-PAGE = Path("docs/CAPACITY.md")
+DEFAULT_RESULTS = Path("docs/measurements/capacity")
+DEFAULT_PAGE = Path("docs/CAPACITY.md")
 
 results_option = click.option(
     "--results",
     type=click.Path(path_type=Path),
-    default=RESULTS,
+    default=DEFAULT_RESULTS,
     show_default=True,
     help="the folder of the result files",
 )
 page_option = click.option(
     "--page",
     type=click.Path(path_type=Path),
-    default=PAGE,
+    default=DEFAULT_PAGE,
     show_default=True,
     help="the page with the tables",
 )
@@ -45,15 +45,15 @@
     if name != "all" and name not in MEASUREMENTS:
         known = ", ".join(MEASUREMENTS)
         output.fail(f"{name}: one of {known} or all is due", output.USAGE_ERROR)
-    wanted = list(MEASUREMENTS.values()) if name == "all" else [MEASUREMENTS[name]]
-    for measurement in wanted:
+    selected = list(MEASUREMENTS.values()) if name == "all" else [MEASUREMENTS[name]]
+    for measurement in selected:
         label = measurement.name
 
-        def progress(size: int, run: int, label: str = label) -> None:
+        def print_progress(size: int, run: int, label: str = label) -> None:
             click.echo(f"{label}: size {size:,}, run {run}", err=True)
 
         try:
-            for slope in runner.run(measurement, progress):
+            for slope in runner.run(measurement, print_progress):
                 click.echo(result.save(results, slope))
         except OSError as error:
             output.fail(f"{label}: {error}")
@@ -68,7 +68,7 @@
 
     try:
         text = page.read_text()
-        page.write_text(written(text, _outlook(results)))
+        page.write_text(written(text, _load_outlook(results)))
     except OSError as error:
         output.fail(f"{page}: {error.strerror}")
     except PageError as error:
@@ -84,16 +84,16 @@
     from irisstack.lab.capacity.page import PageError, differing
 
     try:
-        names = differing(page.read_text(), _outlook(results))
+        outdated = differing(page.read_text(), _load_outlook(results))
     except OSError as error:
         output.fail(f"{page}: {error.strerror}")
     except PageError as error:
         output.fail(f"{page}: {error}")
-    if names:
-        output.fail(f"{page}: not what the results give: {', '.join(names)}; irisstack lab capacity write")
+    if outdated:
+        output.fail(f"{page}: not what the results give: {', '.join(outdated)}; irisstack lab capacity write")
 
 
-def _outlook(folder: Path) -> "Outlook":
+def _load_outlook(folder: Path) -> "Outlook":
     """The results of a folder joined with what is expected; a bad file ends the command."""
     from irisstack.lab.capacity import outlook, registry, result
 
--- a/irisstack/cli/config.py
+++ b/irisstack/cli/config.py
@@ -33,16 +33,18 @@
 def check(file: Path, kind: str, as_json: bool) -> None:
     """Tell everything that is wrong with FILE, at once."""
     try:
-        found, _, _ = kinds.read(file, kind)
+        detected_kind, _, _ = kinds.read(file, kind)
     except DocumentError as error:
         if as_json:
-            output.print_json([{"file": str(file), "key": p.key, "text": p.text} for p in error.problems])
+            output.print_json(
+                [{"file": str(file), "key": problem.key, "text": problem.text} for problem in error.problems]
+            )
             raise SystemExit(output.FAILED) from None
         output.fail(str(error))
     if as_json:
         output.print_json([])
     else:
-        click.echo(f"{file}: a good {found} file")
+        click.echo(f"{file}: a good {detected_kind} file")
 
 
 @config.command()
@@ -52,18 +54,18 @@
 def show(file: Path, kind: str, as_json: bool) -> None:
     """Print what FILE comes to: each key, its value, and whether file, variable or default gave it."""
     try:
-        found, raw, model = kinds.read(file, kind)
+        detected_kind, raw, model = kinds.read(file, kind)
     except DocumentError as error:
         output.fail(str(error))
-    told = dict(document.flatten(raw))
+    given = dict(document.flatten(raw))
     rows: list[tuple[str, Any, str]] = []
     for key, value in document.flatten(model.model_dump(by_alias=True)):
-        variable = VARIABLES.get(key, "") if found == "node" else ""
+        variable = VARIABLES.get(key, "") if detected_kind == "node" else ""
         if variable and os.environ.get(variable):
             rows.append((key, os.environ[variable], variable))
         else:
-            rows.append((key, value, "file" if key in told else "default"))
-    output.print_table(("key", "value", "from"), rows, as_json, title=f"{file}: {found}")
+            rows.append((key, value, "file" if key in given else "default"))
+    output.print_table(("key", "value", "from"), rows, as_json, title=f"{file}: {detected_kind}")
 
 
 @config.command()
--- a/irisstack/cli/output.py
+++ b/irisstack/cli/output.py
@@ -28,13 +28,13 @@
         print_json([dict(zip(columns, row, strict=True)) for row in rows])
         return
     console = Console(width=None if sys.stdout.isatty() else 160)
-    grid = Table(title=title or None, title_justify="left")
-    for i, name in enumerate(columns):
-        numeric = any(isinstance(row[i], int | float) for row in rows)
-        grid.add_column(name, justify="right" if numeric else "left", overflow="fold")
+    rich_table = Table(title=title or None, title_justify="left")
+    for index, name in enumerate(columns):
+        numeric = any(isinstance(row[index], int | float) for row in rows)
+        rich_table.add_column(name, justify="right" if numeric else "left", overflow="fold")
     for row in rows:
-        grid.add_row(*(format_cell(value) for value in row))
-    console.print(grid)
+        rich_table.add_row(*(format_cell(value) for value in row))
+    console.print(rich_table)
 
 
 def format_cell(value: Any) -> str:
--- a/irisstack/cli/root.py
+++ b/irisstack/cli/root.py
@@ -52,18 +52,18 @@
 
 @root.command()
 @click.pass_obj
-def run(obj: tuple[str, str]) -> None:
+def run(log_options: tuple[str, str]) -> None:
     """Run a delivery node in the foreground; its configuration comes from RELAY_CONFIG."""
-    raise SystemExit(run_node(*obj))
+    raise SystemExit(run_node(*log_options))
 
 
 @root.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
     """Print the script that completes commands in SHELL."""
-    kind = get_completion_class(shell)
-    assert kind is not None, "the choice lists what the library has"
-    click.echo(kind(root, {}, "irisstack", "_IRISSTACK_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None, "the choice lists what the library has"
+    click.echo(completion_class(root, {}, "irisstack", "_IRISSTACK_COMPLETE").source())
 
 
 root.add_command(config)
@@ -78,14 +78,14 @@
         root.main(
             args=None if arguments is None else list(arguments), prog_name="irisstack", standalone_mode=False
         )
-    except click.exceptions.Exit as stop:
-        return stop.exit_code
+    except click.exceptions.Exit as exit_exception:
+        return exit_exception.exit_code
     except click.ClickException as error:
         error.show()
         return USAGE_ERROR
     except (click.Abort, KeyboardInterrupt):
         click.echo("irisstack: interrupted", err=True)
         return FAILED
-    except SystemExit as stop:
-        return stop.code if isinstance(stop.code, int) else FAILED
+    except SystemExit as exit_exception:
+        return exit_exception.code if isinstance(exit_exception.code, int) else FAILED
     return 0
--- a/irisstack/cli/scale.py
+++ b/irisstack/cli/scale.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from irisstack.lab.scale.results import Slope
 
-LARGEST = 1_000_000
+MAX_SIZE = 1_000_000
 
 
 @click.group()
@@ -25,7 +25,7 @@
     """List the experiments."""
     from irisstack.lab.scale.experiments import EXPERIMENTS
 
-    rows = [(each.name, each.variable, each.title) for each in EXPERIMENTS.values()]
+    rows = [(experiment.name, experiment.variable, experiment.title) for experiment in EXPERIMENTS.values()]
     output.print_table(("experiment", "sizes count", "measures"), rows, as_json)
 
 
@@ -43,13 +43,13 @@
     _check_names(names, tuple(EXPERIMENTS))
     if sizes is not None and len(names) != 1:
         output.fail("--sizes: one experiment is due with it", output.USAGE_ERROR)
-    wanted = _sizes(sizes) if sizes is not None else None
-    measured: list[Slope] = []
+    chosen_sizes = _parse_sizes(sizes) if sizes is not None else None
+    slopes: list[Slope] = []
     for name in names or tuple(EXPERIMENTS):
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
-            for slope in EXPERIMENTS[name].measure(wanted):
-                measured.append(slope)
+            for slope in EXPERIMENTS[name].measure(chosen_sizes):
+                slopes.append(slope)
                 if out is not None:
                     write(out, slope, f"irisstack lab scale run {name}")
         except NodeError as error:
@@ -57,9 +57,9 @@
         except OSError as error:
             output.fail(f"{error.filename or name}: {error.strerror}")
         click.echo(
-            f"{name}: {time.monotonic() - began:.1f} s, peak memory {peak_memory_mb():.0f} MB", err=True
+            f"{name}: {time.monotonic() - started_at:.1f} s, peak memory {peak_memory_mb():.0f} MB", err=True
         )
-    _show(measured, as_json)
+    _print_slopes(slopes, as_json)
 
 
 @scale.command()
@@ -75,15 +75,15 @@
     from irisstack.lab.scale.settings_plays import BY_NAME, COLUMNS, row, run
 
     _check_names(names, tuple(BY_NAME))
-    rows, sound = [], True
+    rows, all_sound = [], True
     for name in names or tuple(BY_NAME):
-        began = time.monotonic()
-        _, found = run(BY_NAME[name], nodes, seed)
-        rows.append(row(name, found))
-        sound &= found.sound
-        click.echo(f"{name}: {time.monotonic() - began:.1f} s", err=True)
+        started_at = time.monotonic()
+        _, figures = run(BY_NAME[name], nodes, seed)
+        rows.append(row(name, figures))
+        all_sound &= figures.sound
+        click.echo(f"{name}: {time.monotonic() - started_at:.1f} s", err=True)
     output.print_table(COLUMNS, rows, as_json)
-    if not sound:
+    if not all_sound:
         output.fail("a node was left behind, or put in force what was never written")
 
 
@@ -93,18 +93,18 @@
             output.fail(f"no experiment {name!r}; there are {', '.join(known)}", output.USAGE_ERROR)
 
 
-def _sizes(text: str) -> list[int]:
+def _parse_sizes(text: str) -> list[int]:
     """Whole numbers from 1 on, in rising order, none twice."""
-    words = [word.strip() for word in text.split(",")]
-    if not all(word.isascii() and word.isdigit() and 1 <= int(word) <= LARGEST for word in words):
+    fields = [field.strip() for field in text.split(",")]
+    if not all(field.isascii() and field.isdigit() and 1 <= int(field) <= MAX_SIZE for field in fields):
         output.fail(
-            f"--sizes {text}: whole numbers from 1 to {LARGEST} with commas between them are due",
+            f"--sizes {text}: whole numbers from 1 to {MAX_SIZE} with commas between them are due",
             output.USAGE_ERROR,
         )
-    return sorted({int(word) for word in words})
+    return sorted({int(field) for field in fields})
 
 
-def _show(slopes: "list[Slope]", as_json: bool) -> None:
+def _print_slopes(slopes: "list[Slope]", as_json: bool) -> None:
     """A row for each slope, or as JSON an object for each point."""
     from irisstack.lab.scale.tables import number
 
--- a/irisstack/cli/settings.py
+++ b/irisstack/cli/settings.py
@@ -37,17 +37,17 @@
     from irisstack.node.settings_publisher import PublishError
 
     try:
-        before = _publisher(_config(node_file)).read()
+        published = _make_publisher(_load_node_config(node_file)).read()
     except PublishError as error:
         output.fail(str(error))
-    if problem := before.items.problem():
-        output.fail(f"revision {before.revision}: {problem}")
-    values = before.items.values()
+    if problem := published.items.problem():
+        output.fail(f"revision {published.revision}: {problem}")
+    values = published.items.values()
     if as_json:
-        output.print_json({"revision": before.revision, "items": values})
+        output.print_json({"revision": published.revision, "items": values})
     else:
-        rows = [(path, _shown(value)) for path, value in sorted(values.items())]
-        output.print_table(("path", "value"), rows, as_json, f"revision {before.revision}")
+        rows = [(path, _format_value(value)) for path, value in sorted(values.items())]
+        output.print_table(("path", "value"), rows, as_json, f"revision {published.revision}")
 
 
 @settings.command()
@@ -58,7 +58,7 @@
     from irisstack.node import settings_publisher
     from irisstack.settings import SettingsError
 
-    config, items = _config(node_file), _items(file)
+    config, items = _load_node_config(node_file), _read_items(file)
     try:
         settings_publisher.check_document(config, items)
     except SettingsError as error:
@@ -74,23 +74,23 @@
     from irisstack.node import settings_publisher
     from irisstack.settings import SettingsError
 
-    config, items = _config(node_file), _items(file)
+    config, items = _load_node_config(node_file), _read_items(file)
     try:
-        publisher = _publisher(config)
-        before = publisher.read()
-        settings_publisher.check_document(config, items, before)
-        revision = publisher.publish(before, items)
+        publisher = _make_publisher(config)
+        published = publisher.read()
+        settings_publisher.check_document(config, items, published)
+        revision = publisher.publish(published, items)
     except SettingsError as error:
         output.fail(f"{file}: {error}")
     except settings_publisher.PublishError as error:
         output.fail(str(error))
     if revision is None:
-        click.echo(f"nothing to change: revision {before.revision} holds this document")
+        click.echo(f"nothing to change: revision {published.revision} holds this document")
     else:
         click.echo(f"published as revision {revision}")
 
 
-def _config(node_file: Path) -> "Config":
+def _load_node_config(node_file: Path) -> "Config":
     """The node's configuration, without its lasting folder: that is on the node's machine, if anywhere."""
     from irisstack.node.config import ConfigError, load
 
@@ -100,16 +100,16 @@
         output.fail(str(error), output.USAGE_ERROR)
 
 
-def _publisher(config: "Config") -> "SettingsPublisher":
+def _make_publisher(config: "Config") -> "SettingsPublisher":
     from irisstack.node.settings_publisher import SettingsPublisher
 
-    source = config.dynamic_settings
-    if source is None:
+    dynamic_settings = config.dynamic_settings
+    if dynamic_settings is None:
         output.fail("dynamic_settings: is due in the node's file", output.USAGE_ERROR)
-    return SettingsPublisher(source.members, source.prefix)
+    return SettingsPublisher(dynamic_settings.members, dynamic_settings.prefix)
 
 
-def _items(file: Path) -> dict[str, Any]:
+def _read_items(file: Path) -> dict[str, Any]:
     from irisstack.node.config import file_format, parse_file
 
     try:
@@ -123,5 +123,5 @@
     return items
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return json.dumps(value, ensure_ascii=False)
