--- a/irisstack/cli/__init__.py
+++ b/irisstack/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: parse, call one function of a package, print."""
+"""The command line: each command parses its arguments, calls one package and prints the result."""
 
 from irisstack.cli.root import main
 
--- a/irisstack/cli/capacity.py
+++ b/irisstack/cli/capacity.py
@@ -1,4 +1,4 @@
-"""`irisstack lab capacity`: measure slopes, write the page's tables from them, check that they agree."""
+"""`irisstack lab capacity`: measure slopes, write the page's tables from them, check the tables."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -18,33 +18,33 @@
     type=click.Path(path_type=Path),
     default=DEFAULT_RESULTS,
     show_default=True,
-    help="the folder of the result files",
+    help="directory of the result files",
 )
 page_option = click.option(
     "--page",
     type=click.Path(path_type=Path),
     default=DEFAULT_PAGE,
     show_default=True,
-    help="the page with the tables",
+    help="page that contains the tables",
 )
 
 
 @click.group()
 def capacity() -> None:
-    """Measure how state and cost grow, and hold them against the size to plan for."""
+    """Measure how state and cost grow, and compare them with the size planned for."""
 
 
 @capacity.command()
 @click.argument("name")
 @results_option
 def measure(name: str, results: Path) -> None:
-    """Run the measurement NAME, or `all`, and keep its slopes."""
+    """Run the measurement NAME, or `all`, and save its slopes."""
     from irisstack.lab.capacity import result, runner
     from irisstack.lab.capacity.measurements import MEASUREMENTS
 
     if name != "all" and name not in MEASUREMENTS:
         known = ", ".join(MEASUREMENTS)
-        output.fail(f"{name}: one of {known} or all is due", output.USAGE_ERROR)
+        output.fail(f"{name}: expected one of {known} or all", output.USAGE_ERROR)
     selected = list(MEASUREMENTS.values()) if name == "all" else [MEASUREMENTS[name]]
     for measurement in selected:
         label = measurement.name
@@ -63,7 +63,7 @@
 @results_option
 @page_option
 def write(results: Path, page: Path) -> None:
-    """Write the page's tables anew from the result files; its prose stays."""
+    """Regenerate the page's tables from the result files; the text around them stays."""
     from irisstack.lab.capacity.page import PageError, written
 
     try:
@@ -80,7 +80,7 @@
 @results_option
 @page_option
 def check(results: Path, page: Path) -> None:
-    """Fail if the page's tables are not what the result files give."""
+    """Fail if the page's tables differ from the result files."""
     from irisstack.lab.capacity.page import PageError, differing
 
     try:
@@ -90,11 +90,13 @@
     except PageError as error:
         output.fail(f"{page}: {error}")
     if outdated:
-        output.fail(f"{page}: not what the results give: {', '.join(outdated)}; irisstack lab capacity write")
+        output.fail(
+            f"{page}: tables differ from the results: {', '.join(outdated)}; run irisstack lab capacity write"
+        )
 
 
 def _load_outlook(folder: Path) -> "Outlook":
-    """The results of a folder joined with what is expected; a bad file ends the command."""
+    """Load the result files and join them with the expected results; exits if a file is invalid."""
     from irisstack.lab.capacity import outlook, registry, result
 
     try:
--- a/irisstack/cli/config.py
+++ b/irisstack/cli/config.py
@@ -1,4 +1,4 @@
-"""`irisstack config`: check files, show what they come to, print their schema."""
+"""`irisstack config`: check files, show their effective values, print their schema."""
 
 import os
 from pathlib import Path
@@ -16,14 +16,14 @@
     type=click.Choice(["auto", *kinds.KINDS]),
     default="auto",
     show_default=True,
-    help="what the file is; auto goes by its keys",
+    help="kind of the file; auto detects it by its keys",
 )
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 
 
 @click.group()
 def config() -> None:
-    """Check, show and describe the files that people write."""
+    """Check, show and describe configuration files."""
 
 
 @config.command()
@@ -31,7 +31,7 @@
 @kind_option
 @output.json_option
 def check(file: Path, kind: str, as_json: bool) -> None:
-    """Tell everything that is wrong with FILE, at once."""
+    """Report all errors in FILE at once."""
     try:
         detected_kind, _, _ = kinds.read(file, kind)
     except DocumentError as error:
@@ -44,7 +44,7 @@
     if as_json:
         output.print_json([])
     else:
-        click.echo(f"{file}: a good {detected_kind} file")
+        click.echo(f"{file}: valid {detected_kind} file")
 
 
 @config.command()
@@ -52,7 +52,7 @@
 @kind_option
 @output.json_option
 def show(file: Path, kind: str, as_json: bool) -> None:
-    """Print what FILE comes to: each key, its value, and whether file, variable or default gave it."""
+    """Print each key of FILE with its effective value and whether file, variable or default set it."""
     try:
         detected_kind, raw, model = kinds.read(file, kind)
     except DocumentError as error:
--- a/irisstack/cli/output.py
+++ b/irisstack/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands speak: results on standard output as a table or JSON, talk on standard error."""
+"""Output of the commands: results on standard output as a table or JSON, messages on standard error."""
 
 import json
 import sys
@@ -16,14 +16,14 @@
 
 
 def stderr_console() -> Console:
-    """Where progress and remarks go."""
+    """The console for progress and messages."""
     return Console(stderr=True)
 
 
 def print_table(
     columns: Sequence[str], rows: Sequence[Sequence[Any]], as_json: bool, title: str = ""
 ) -> None:
-    """Print rows; numbers stand to the right. As JSON: a list with an object for each row."""
+    """Print rows as a table with numbers right-aligned, or as a JSON list with an object for each row."""
     if as_json:
         print_json([dict(zip(columns, row, strict=True)) for row in rows])
         return
@@ -38,7 +38,7 @@
 
 
 def format_cell(value: Any) -> str:
-    """One value as a person reads it."""
+    """Format one value of a table."""
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -51,7 +51,7 @@
 
 
 def fail(text: str, code: int = FAILED) -> NoReturn:
-    """End the command with a message on standard error."""
+    """Print an error message on standard error and exit with `code`."""
     for line in text.splitlines():
         click.echo(f"irisstack: {line}", err=True)
     raise SystemExit(code)
--- a/irisstack/cli/root.py
+++ b/irisstack/cli/root.py
@@ -1,4 +1,4 @@
-"""The command `irisstack` and what all of its commands share."""
+"""The `irisstack` command: its subcommands, global options and exit codes."""
 
 import sys
 from collections.abc import Sequence
@@ -30,20 +30,20 @@
     type=click.Choice(["json", "console"]),
     default="json",
     show_default=True,
-    help="how log lines are written",
+    help="format of log lines",
 )
 @click.option(
     "--log-level",
     type=click.Choice(logs.LEVELS),
     default="info",
     show_default=True,
-    help="the least of what is logged",
+    help="lowest level that is logged",
 )
 @click.pass_context
 def root(context: click.Context, log_format: str, log_level: str) -> None:
-    """Deliver outbound messages to other firms' systems, a breaker for each destination.
+    """Deliver outbound messages to other firms' systems, with a circuit breaker for each destination.
 
-    Exit codes: 0 done, 1 the thing asked for failed, 2 asked wrongly.
+    Exit codes: 0 success, 1 failure, 2 usage error.
     """
     context.obj = (log_format, log_level)
     if context.invoked_subcommand != "run":
@@ -53,7 +53,7 @@
 @root.command()
 @click.pass_obj
 def run(log_options: tuple[str, str]) -> None:
-    """Run a delivery node in the foreground; its configuration comes from RELAY_CONFIG."""
+    """Run a delivery node in the foreground; RELAY_CONFIG names its configuration file."""
     raise SystemExit(run_node(*log_options))
 
 
@@ -62,7 +62,7 @@
 def completion(shell: str) -> None:
     """Print the script that completes commands in SHELL."""
     completion_class = get_completion_class(shell)
-    assert completion_class is not None, "the choice lists what the library has"
+    assert completion_class is not None, "click supports each shell of the choice"
     click.echo(completion_class(root, {}, "irisstack", "_IRISSTACK_COMPLETE").source())
 
 
@@ -73,7 +73,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; returns its exit code. An interrupted one is told so and has failed."""
+    """Run one command and return its exit code; an interrupted command counts as failed."""
     try:
         root.main(
             args=None if arguments is None else list(arguments), prog_name="irisstack", standalone_mode=False
--- a/irisstack/cli/scale.py
+++ b/irisstack/cli/scale.py
@@ -1,4 +1,4 @@
-"""`irisstack lab scale`: measure how load and recovery grow with the size of a fleet."""
+"""`irisstack lab scale`: measure how load and recovery grow with the size of the fleet."""
 
 import time
 from pathlib import Path
@@ -12,11 +12,12 @@
     from irisstack.lab.scale.results import Slope
 
 MAX_SIZE = 1_000_000
+"""Largest size that --sizes accepts."""
 
 
 @click.group()
 def scale() -> None:
-    """Measure growth with hollow nodes: real decisions, many nodes in one process, virtual time."""
+    """Measure growth with simulated nodes: real decision code, many nodes in one process, virtual time."""
 
 
 @scale.command(name="list")
@@ -31,8 +32,12 @@
 
 @scale.command()
 @click.argument("names", nargs=-1)
-@click.option("--sizes", metavar="N,N,...", help="instead of the experiment's own; one experiment at a time")
-@click.option("--out", type=click.Path(path_type=Path), help="write each slope as a JSON file to this folder")
+@click.option(
+    "--sizes", metavar="N,N,...", help="replaces the experiment's own sizes; requires exactly one experiment"
+)
+@click.option(
+    "--out", type=click.Path(path_type=Path), help="directory to write each slope to, as a JSON file"
+)
 @output.json_option
 def run(names: tuple[str, ...], sizes: str | None, out: Path | None, as_json: bool) -> None:
     """Run the experiments NAMES, or all of them, and print each measured point."""
@@ -42,7 +47,7 @@
 
     _check_names(names, tuple(EXPERIMENTS))
     if sizes is not None and len(names) != 1:
-        output.fail("--sizes: one experiment is due with it", output.USAGE_ERROR)
+        output.fail(f"--sizes: expected exactly one experiment, got {len(names)}", output.USAGE_ERROR)
     chosen_sizes = _parse_sizes(sizes) if sizes is not None else None
     slopes: list[Slope] = []
     for name in names or tuple(EXPERIMENTS):
@@ -68,9 +73,9 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @output.json_option
 def plays(names: tuple[str, ...], nodes: int, seed: int, as_json: bool) -> None:
-    """Play troubles NAMES, or all, with a fleet that follows the settings, and print what came of each.
+    """Play the fault scenarios NAMES, or all, on a fleet with dynamic settings, and print their results.
 
-    Ends with 1 if a node put in force what was never written, or was left behind.
+    Exits with 1 if a node applied a value that was never written, or did not catch up with every change.
     """
     from irisstack.lab.scale.settings_plays import BY_NAME, COLUMNS, row, run
 
@@ -84,28 +89,28 @@
         click.echo(f"{name}: {time.monotonic() - started_at:.1f} s", err=True)
     output.print_table(COLUMNS, rows, as_json)
     if not all_sound:
-        output.fail("a node was left behind, or put in force what was never written")
+        output.fail("a node did not catch up with every change, or applied a value that was never written")
 
 
 def _check_names(names: tuple[str, ...], known: tuple[str, ...]) -> None:
     for name in names:
         if name not in known:
-            output.fail(f"no experiment {name!r}; there are {', '.join(known)}", output.USAGE_ERROR)
+            output.fail(f"unknown name {name!r}: expected one of {', '.join(known)}", output.USAGE_ERROR)
 
 
 def _parse_sizes(text: str) -> list[int]:
-    """Whole numbers from 1 on, in rising order, none twice."""
+    """Parse comma-separated sizes; returns them sorted, without duplicates."""
     fields = [field.strip() for field in text.split(",")]
     if not all(field.isascii() and field.isdigit() and 1 <= int(field) <= MAX_SIZE for field in fields):
         output.fail(
-            f"--sizes {text}: whole numbers from 1 to {MAX_SIZE} with commas between them are due",
+            f"--sizes {text}: expected integers from 1 to {MAX_SIZE}, separated by commas",
             output.USAGE_ERROR,
         )
     return sorted({int(field) for field in fields})
 
 
 def _print_slopes(slopes: "list[Slope]", as_json: bool) -> None:
-    """A row for each slope, or as JSON an object for each point."""
+    """Print a table with a row for each slope, or JSON with an object for each point."""
     from irisstack.lab.scale.tables import number
 
     if as_json:
@@ -135,17 +140,17 @@
 @scale.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 def tables(folder: Path) -> None:
-    """Print the slopes that were written to FOLDER as Markdown tables."""
+    """Print the slopes stored in FOLDER as Markdown tables."""
     from irisstack.lab.scale.results import read
     from irisstack.lab.scale.tables import markdown
 
     files = sorted(folder.glob("*.json"))
     if not files:
-        output.fail(f"{folder}: no slopes there", output.USAGE_ERROR)
+        output.fail(f"{folder}: no slope files found", output.USAGE_ERROR)
     slopes: list[Slope] = []
     for path in files:
         try:
             slopes.append(read(path))
         except (OSError, ValueError, KeyError, TypeError) as error:
-            output.fail(f"{path}: no slope: {error!r}", output.USAGE_ERROR)
+            output.fail(f"{path}: not a valid slope file: {error!r}", output.USAGE_ERROR)
     click.echo(markdown(slopes), nl=False)
--- a/irisstack/cli/settings.py
+++ b/irisstack/cli/settings.py
@@ -1,4 +1,4 @@
-"""`irisstack settings`: show, check and publish the settings that nodes follow while they run."""
+"""`irisstack settings`: show, check and publish dynamic settings, which nodes apply without a restart."""
 
 import json
 import tempfile
@@ -19,21 +19,21 @@
     type=click.Path(path_type=Path),
     envvar="RELAY_CONFIG",
     required=True,
-    help="a node's configuration file with the key dynamic_settings; RELAY_CONFIG if left out",
+    help="configuration file of a node, with the key dynamic_settings; defaults to RELAY_CONFIG",
 )
 file_argument = click.argument("file", type=click.Path(path_type=Path))
 
 
 @click.group()
 def settings() -> None:
-    """Settings that nodes follow while they run; FILE holds an object of values by path."""
+    """Dynamic settings, which nodes apply without a restart; FILE holds an object of values by path."""
 
 
 @settings.command()
 @node_option
 @output.json_option
 def show(node_file: Path, as_json: bool) -> None:
-    """Print what is published now."""
+    """Print the published document."""
     from irisstack.node.settings_publisher import PublishError
 
     try:
@@ -54,7 +54,7 @@
 @file_argument
 @node_option
 def check(file: Path, node_file: Path) -> None:
-    """Check FILE as a node does, without what is published now."""
+    """Check FILE as a node does, but not whether it may follow the published document."""
     from irisstack.node import settings_publisher
     from irisstack.settings import SettingsError
 
@@ -63,14 +63,14 @@
         settings_publisher.check_document(config, items)
     except SettingsError as error:
         output.fail(f"{file}: {error}")
-    click.echo(f"{file}: a good document of {len(items)} items")
+    click.echo(f"{file}: valid document with {len(items)} items")
 
 
 @settings.command()
 @file_argument
 @node_option
 def publish(file: Path, node_file: Path) -> None:
-    """Make FILE the document that nodes follow, once it is checked as a node does."""
+    """Check FILE as a node does, then publish it as the document that nodes apply."""
     from irisstack.node import settings_publisher
     from irisstack.settings import SettingsError
 
@@ -85,13 +85,16 @@
     except settings_publisher.PublishError as error:
         output.fail(str(error))
     if revision is None:
-        click.echo(f"nothing to change: revision {published.revision} holds this document")
+        click.echo(f"no changes: revision {published.revision} already holds this document")
     else:
         click.echo(f"published as revision {revision}")
 
 
 def _load_node_config(node_file: Path) -> "Config":
-    """The node's configuration, without its lasting folder: that is on the node's machine, if anywhere."""
+    """Load the node's configuration, with a temporary directory in place of its state directory.
+
+    The state directory is on the node's machine, if it exists at all.
+    """
     from irisstack.node.config import ConfigError, load
 
     try:
@@ -105,7 +108,7 @@
 
     dynamic_settings = config.dynamic_settings
     if dynamic_settings is None:
-        output.fail("dynamic_settings: is due in the node's file", output.USAGE_ERROR)
+        output.fail("dynamic_settings: required key is missing in the node's file", output.USAGE_ERROR)
     return SettingsPublisher(dynamic_settings.members, dynamic_settings.prefix)
 
 
@@ -115,11 +118,11 @@
     try:
         items = parse_file(file)
     except OSError as error:
-        output.fail(f"{file} cannot be read: {error.strerror}")
+        output.fail(f"{file}: cannot be read: {error.strerror}")
     except (ValueError, RecursionError) as error:
-        output.fail(f"{file} holds no {file_format(file)}: {error}")
+        output.fail(f"{file}: invalid {file_format(file)}: {error}")
     if not isinstance(items, dict):
-        output.fail(f"{file}: an object of values by path is due")
+        output.fail(f"{file}: expected an object of values by path, got {type(items).__name__}")
     return items
 
 
--- a/tests/cli/test_scale_commands.py
+++ b/tests/cli/test_scale_commands.py
@@ -12,15 +12,15 @@
 @pytest.mark.parametrize(
     ("words", "due"),
     [
-        (["run", "none"], "no experiment 'none'; there are outage"),
-        (["run", "outage", "--sizes", "0"], "whole numbers from 1"),
-        (["run", "outage", "--sizes", "2,,3"], "whole numbers from 1"),
-        (["run", "outage", "--sizes", "two"], "whole numbers from 1"),
-        (["run", "outage", "--sizes", "1000001"], "whole numbers from 1"),
-        (["run", "--sizes", "2"], "one experiment is due"),
-        (["run", "outage", "list", "--sizes", "2"], "one experiment is due"),
+        (["run", "none"], "unknown name 'none': expected one of outage"),
+        (["run", "outage", "--sizes", "0"], "expected integers from 1"),
+        (["run", "outage", "--sizes", "2,,3"], "expected integers from 1"),
+        (["run", "outage", "--sizes", "two"], "expected integers from 1"),
+        (["run", "outage", "--sizes", "1000001"], "expected integers from 1"),
+        (["run", "--sizes", "2"], "expected exactly one experiment, got 0"),
+        (["run", "outage", "list", "--sizes", "2"], "expected exactly one experiment, got 2"),
         (["run", "--size", "2"], "No such option"),
-        (["tables", "none"], "none: no slopes there"),
+        (["tables", "none"], "none: no slope files found"),
         (["weigh"], "No such command"),
     ],
 )
@@ -56,7 +56,7 @@
     assert lines[2].startswith("| `gossip-processor-time` | us | ")
     (tmp_path / "other.json").write_text("{}")
     assert main(["lab", "scale", "tables", str(tmp_path)]) == 2
-    assert "other.json: no slope" in capfd.readouterr().err
+    assert "other.json: not a valid slope file" in capfd.readouterr().err
 
 
 def test_a_folder_that_cannot_be_written_is_told(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -70,7 +70,7 @@
 ) -> None:
     server.cluster.put(f"{PREFIX}allowed/attemptsCap".encode(), b" 3 ")
     assert publish(node_file, {"allowed/attemptsCap": 3}) == 0
-    assert "nothing to change: revision 2" in capfd.readouterr().out
+    assert "no changes: revision 2" in capfd.readouterr().out
     assert server.cluster.store.revision == 2
 
 
@@ -103,7 +103,7 @@
 def test_a_good_document_is_said_to_be_one(node_file: Path, capfd: pytest.CaptureFixture[str]) -> None:
     file = written(node_file.parent, GOOD)
     assert main(["settings", "check", file, "--node", str(node_file)]) == 0
-    assert capfd.readouterr().out == f"{file}: a good document of 2 items\n"
+    assert capfd.readouterr().out == f"{file}: valid document with 2 items\n"
 
 
 def test_a_member_that_is_down_is_passed_over(
@@ -128,7 +128,7 @@
     node_file: Path, capfd: pytest.CaptureFixture[str], document: object
 ) -> None:
     assert publish(node_file, document) == 1
-    assert "an object of values by path is due" in capfd.readouterr().err
+    assert "expected an object of values by path, got " in capfd.readouterr().err
 
 
 def test_a_node_without_dynamic_settings_is_asked_wrongly(
