--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code"),
+    ("arguments", "code"),
     [
         (["--version"], 0),
         (["config", "check", str(EXAMPLE)], 0),
@@ -26,15 +26,15 @@
         (["fly"], 2),
     ],
 )
-def test_exit_codes(words: list[str], code: int, capfd: pytest.CaptureFixture[str]) -> None:
-    assert main(words) == code
+def test_exit_codes(arguments: list[str], code: int, capfd: pytest.CaptureFixture[str]) -> None:
+    assert main(arguments) == code
     out, err = capfd.readouterr()
     assert bool(out) == (code == 0)
     assert bool(err) == (code != 0)
     assert "Traceback" not in err
 
 
-def test_show_tells_where_each_value_comes_from(
+def test_show_prints_the_source_of_each_value(
     capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("RELAY_LISTEN", "127.0.0.1:99")
@@ -45,7 +45,7 @@
     assert rows["settings.overShareWorth"] == (1.0, "default")
 
 
-LOADED = """
+PRINT_LOADED_MODULES = """
 import sys
 sys.argv = ["irisstack", "run"]
 from irisstack.__main__ import main
@@ -54,34 +54,34 @@
 """
 
 
-def test_a_plain_run_loads_no_library_of_the_tools() -> None:
-    done = subprocess.run(
-        [sys.executable, "-c", LOADED],
+def test_plain_run_imports_no_library_of_the_tools() -> None:
+    completed = subprocess.run(
+        [sys.executable, "-c", PRINT_LOADED_MODULES],
         capture_output=True,
         text=True,
         check=True,
         env={key: value for key, value in os.environ.items() if key != "RELAY_CONFIG"},
     )
-    code, *loaded = done.stdout.split()
+    code, *loaded = completed.stdout.split()
     assert code == "2"  # no RELAY_CONFIG: the node itself has started and said so
-    assert "RELAY_CONFIG" in done.stderr
+    assert "RELAY_CONFIG" in completed.stderr
     assert "gevent" in loaded
     # Not rich: the log library takes it up where it is installed, and a node's environment lacks it.
     assert not {"click", "pydantic", "numpy", "msgspec", "scipy", "matplotlib"} & set(loaded)
 
 
-def test_without_the_tools_the_command_line_says_what_to_install() -> None:
-    hidden = (
+def test_missing_tools_are_reported_with_what_to_install() -> None:
+    script = (
         "import sys; sys.modules['click'] = None; from irisstack.__main__ import main; "
         "sys.exit(main(['config']))"
     )
-    done = subprocess.run([sys.executable, "-c", hidden], capture_output=True, text=True, check=False)
-    assert done.returncode == 2
-    assert "irisstack[tools]" in done.stderr
-    assert "Traceback" not in done.stderr
+    completed = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=False)
+    assert completed.returncode == 2
+    assert "irisstack[tools]" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
-def test_a_node_takes_its_file_as_toml_too(tmp_path: Path) -> None:
+def test_node_loads_a_toml_configuration(tmp_path: Path) -> None:
     from irisstack.node import config
 
     raw = json.loads(EXAMPLE.read_bytes())
@@ -102,8 +102,8 @@
         lines += ["[[settings.lanes]]", *(f"{key} = {json.dumps(value)}" for key, value in lane.items())]
     path = tmp_path / "node.toml"
     path.write_text("\n".join(lines))
-    taken = config.load({"RELAY_CONFIG": str(path)})
-    assert (taken.settings.max_pending, taken.sockets, len(taken.settings.classes)) == (9, 256, 2)
+    loaded = config.load({"RELAY_CONFIG": str(path)})
+    assert (loaded.settings.max_pending, loaded.sockets, len(loaded.settings.classes)) == (9, 256, 2)
     path.write_text("= 3")
     with pytest.raises(config.ConfigError, match="holds no TOML"):
         config.load({"RELAY_CONFIG": str(path)})
--- a/tests/cli/test_scale_commands.py
+++ b/tests/cli/test_scale_commands.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "due"),
+    ("arguments", "expected"),
     [
         (["run", "none"], "unknown name 'none': expected one of outage"),
         (["run", "outage", "--sizes", "0"], "expected integers from 1"),
@@ -24,26 +24,26 @@
         (["weigh"], "No such command"),
     ],
 )
-def test_bad_arguments_are_one_clear_error(
-    words: list[str], due: str, capfd: pytest.CaptureFixture[str]
+def test_invalid_arguments_give_one_clear_error(
+    arguments: list[str], expected: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["lab", "scale", *words]) == 2
+    assert main(["lab", "scale", *arguments]) == 2
     out, err = capfd.readouterr()
-    assert due in err
+    assert expected in err
     assert "Traceback" not in err
     assert out == ""
 
 
-def test_the_experiments_are_listed(capfd: pytest.CaptureFixture[str]) -> None:
+def test_experiments_are_listed(capfd: pytest.CaptureFixture[str]) -> None:
     assert main(["lab", "scale", "list", "--json"]) == 0
     assert [row["experiment"] for row in json.loads(capfd.readouterr().out)] == list(EXPERIMENTS)
 
 
-def test_an_experiment_is_run_at_the_sizes_told_and_written(
+def test_experiment_runs_at_the_given_sizes_and_is_saved(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    words = ["lab", "scale", "run", "gossip-cost", "--sizes", "200,100", "--out", str(tmp_path), "--json"]
-    assert main(words) == 0
+    arguments = ["lab", "scale", "run", "gossip-cost", "--sizes", "200,100", "--out", str(tmp_path), "--json"]
+    assert main(arguments) == 0
     rows = json.loads(capfd.readouterr().out)
     assert [(row["slope"], row["size"]) for row in rows] == [
         ("gossip-processor-time", 100),
@@ -59,8 +59,8 @@
     assert "other.json: not a valid slope file" in capfd.readouterr().err
 
 
-def test_a_folder_that_cannot_be_written_is_told(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_unwritable_output_directory_is_reported(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "taken").write_text("a file where a folder is due")
-    words = ["lab", "scale", "run", "gossip-cost", "--sizes", "100", "--out", str(tmp_path / "taken")]
-    assert main(words) == 1
+    arguments = ["lab", "scale", "run", "gossip-cost", "--sizes", "100", "--out", str(tmp_path / "taken")]
+    assert main(arguments) == 1
     assert "taken" in capfd.readouterr().err
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -16,7 +16,7 @@
 
 EXAMPLE = Path(__file__).resolve().parents[2] / "examples" / "config.json"
 PREFIX = "/irisstack/settings/"
-GOOD = {"allowed/attemptsCap": 3, "overShareWorth": 0.5}
+VALID_DOCUMENT = {"allowed/attemptsCap": 3, "overShareWorth": 0.5}
 
 
 @pytest.fixture
@@ -34,13 +34,13 @@
     return path
 
 
-def written(folder: Path, document: object) -> str:
+def write_document(folder: Path, document: object) -> str:
     path = folder / "document.json"
     path.write_text(json.dumps(document))
     return str(path)
 
 
-def published(server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]) -> dict[str, Any]:
+def published_items(server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]) -> dict[str, Any]:
     """What `show` prints."""
     capfd.readouterr()
     assert main(["settings", "show", "--json", "--node", str(node_file)]) == 0
@@ -51,21 +51,21 @@
 
 
 def publish(node_file: Path, document: object) -> int:
-    return main(["settings", "publish", written(node_file.parent, document), "--node", str(node_file)])
+    return main(["settings", "publish", write_document(node_file.parent, document), "--node", str(node_file)])
 
 
-def test_a_published_document_is_shown_and_replaced_in_one_revision(
+def test_published_document_is_shown_and_replaced_in_one_revision(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    assert publish(node_file, GOOD) == 0
+    assert publish(node_file, VALID_DOCUMENT) == 0
     assert capfd.readouterr().out == "published as revision 2\n"
-    assert published(server, node_file, capfd) == GOOD
+    assert published_items(server, node_file, capfd) == VALID_DOCUMENT
     assert publish(node_file, {"allowed/attemptsCap": 4}) == 0
     assert capfd.readouterr().out == "published as revision 3\n"
-    assert published(server, node_file, capfd) == {"allowed/attemptsCap": 4}
+    assert published_items(server, node_file, capfd) == {"allowed/attemptsCap": 4}
 
 
-def test_what_is_published_already_makes_no_revision(
+def test_publishing_an_unchanged_document_creates_no_revision(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     server.cluster.put(f"{PREFIX}allowed/attemptsCap".encode(), b" 3 ")
@@ -82,17 +82,17 @@
         ({"overShareWorth": 0.5, "x": "y" * 140_000}, "at most 131072 bytes"),
     ],
 )
-@pytest.mark.parametrize("verb", ["check", "publish"])
-def test_a_bad_document_is_refused_with_its_path_and_not_written(
+@pytest.mark.parametrize("command", ["check", "publish"])
+def test_invalid_document_is_rejected_with_its_path_and_not_written(
     server: EtcdServer,
     node_file: Path,
     capfd: pytest.CaptureFixture[str],
     document: dict[str, Any],
     text: str,
-    verb: str,
+    command: str,
 ) -> None:
-    file = written(node_file.parent, document)
-    assert main(["settings", verb, file, "--node", str(node_file)]) == 1
+    file = write_document(node_file.parent, document)
+    assert main(["settings", command, file, "--node", str(node_file)]) == 1
     out, err = capfd.readouterr()
     assert out == ""
     assert text in err
@@ -100,57 +100,57 @@
     assert server.cluster.store.revision == 1
 
 
-def test_a_good_document_is_said_to_be_one(node_file: Path, capfd: pytest.CaptureFixture[str]) -> None:
-    file = written(node_file.parent, GOOD)
+def test_valid_document_is_reported_as_valid(node_file: Path, capfd: pytest.CaptureFixture[str]) -> None:
+    file = write_document(node_file.parent, VALID_DOCUMENT)
     assert main(["settings", "check", file, "--node", str(node_file)]) == 0
     assert capfd.readouterr().out == f"{file}: valid document with 2 items\n"
 
 
-def test_a_member_that_is_down_is_passed_over(
+def test_unreachable_member_is_skipped(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     server.cluster.set_reach(0, Reach.DOWN)
-    assert publish(node_file, GOOD) == 0
-    assert published(server, node_file, capfd) == GOOD
+    assert publish(node_file, VALID_DOCUMENT) == 0
+    assert published_items(server, node_file, capfd) == VALID_DOCUMENT
 
 
-def test_no_member_at_all_is_one_line(
+def test_unreachable_cluster_is_reported_in_one_line(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     for number in range(3):
         server.cluster.set_reach(number, Reach.DOWN)
-    assert publish(node_file, GOOD) == 1
+    assert publish(node_file, VALID_DOCUMENT) == 1
     assert capfd.readouterr().err.startswith("irisstack: no member answers: ")
 
 
 @pytest.mark.parametrize("document", [[1], "text"])
-def test_a_file_that_is_no_object_is_refused(
+def test_file_that_holds_no_object_is_rejected(
     node_file: Path, capfd: pytest.CaptureFixture[str], document: object
 ) -> None:
     assert publish(node_file, document) == 1
     assert "expected an object of values by path, got " in capfd.readouterr().err
 
 
-def test_a_node_without_dynamic_settings_is_asked_wrongly(
+def test_node_file_without_dynamic_settings_is_a_usage_error(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["settings", "show", "--node", str(EXAMPLE)]) == 2
     assert "dynamic_settings" in capfd.readouterr().err
 
 
-def members_of(server: EtcdServer) -> list[HostPort]:
-    places = [address.rpartition(":") for address in server.addresses]
-    return [(host, int(port)) for host, _, port in places]
+def member_addresses(server: EtcdServer) -> list[HostPort]:
+    addresses = [address.rpartition(":") for address in server.addresses]
+    return [(host, int(port)) for host, _, port in addresses]
 
 
-@pytest.mark.parametrize("theirs", ["put", "delete", "put of another key"])
-def test_a_change_by_another_in_between_is_not_overwritten(server: EtcdServer, theirs: str) -> None:
-    publisher = SettingsPublisher(members_of(server), PREFIX)
+@pytest.mark.parametrize("other_change", ["put", "delete", "put of another key"])
+def test_concurrent_change_is_not_overwritten(server: EtcdServer, other_change: str) -> None:
+    publisher = SettingsPublisher(member_addresses(server), PREFIX)
     publisher.publish(publisher.read(), {"a": 1, "b": 2})
     before = publisher.read()
-    if theirs == "put":
+    if other_change == "put":
         server.cluster.put(f"{PREFIX}a".encode(), b"7")
-    elif theirs == "delete":
+    elif other_change == "delete":
         server.cluster.delete(f"{PREFIX}a".encode())
     else:
         server.cluster.put(f"{PREFIX}c".encode(), b"7")
@@ -160,9 +160,9 @@
     assert server.cluster.store.revision == revision
 
 
-def test_more_changes_than_a_transaction_holds_are_refused(server: EtcdServer) -> None:
-    publisher = SettingsPublisher(members_of(server), PREFIX)
-    most = settings_publisher.MAX_CHANGES
-    assert publisher.publish(publisher.read(), {f"lanes/{i}": i for i in range(most)}) == 2
+def test_more_changes_than_a_transaction_holds_are_rejected(server: EtcdServer) -> None:
+    publisher = SettingsPublisher(member_addresses(server), PREFIX)
+    limit = settings_publisher.MAX_CHANGES
+    assert publisher.publish(publisher.read(), {f"lanes/{i}": i for i in range(limit)}) == 2
     with pytest.raises(PublishError, match="127 changes at most"):
-        publisher.publish(publisher.read(), {f"tenants/{i}": i for i in range(most)})
+        publisher.publish(publisher.read(), {f"tenants/{i}": i for i in range(limit)})
