--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it: exit codes, both outputs, and a lean `run`."""
+"""The command line: exit codes, standard output and error, and which modules a plain `run` imports."""
 
 import json
 import os
@@ -63,10 +63,10 @@
         env={key: value for key, value in os.environ.items() if key != "RELAY_CONFIG"},
     )
     code, *loaded = completed.stdout.split()
-    assert code == "2"  # no RELAY_CONFIG: the node itself has started and said so
+    assert code == "2"  # RELAY_CONFIG is not set, and the node itself reports that
     assert "RELAY_CONFIG" in completed.stderr
     assert "gevent" in loaded
-    # Not rich: the log library takes it up where it is installed, and a node's environment lacks it.
+    # rich is not in this set: structlog imports it where it is installed, which a node's environment lacks.
     assert not {"click", "pydantic", "numpy", "msgspec", "scipy", "matplotlib"} & set(loaded)
 
 
--- a/tests/cli/test_scale_commands.py
+++ b/tests/cli/test_scale_commands.py
@@ -1,4 +1,4 @@
-"""`irisstack lab scale` as a user meets it."""
+"""`irisstack lab scale` through the command line."""
 
 import json
 from pathlib import Path
@@ -60,7 +60,7 @@
 
 
 def test_unwritable_output_directory_is_reported(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
-    (tmp_path / "taken").write_text("a file where a folder is due")
+    (tmp_path / "taken").write_text("a file instead of a directory")
     arguments = ["lab", "scale", "run", "gossip-cost", "--sizes", "100", "--out", str(tmp_path / "taken")]
     assert main(arguments) == 1
     assert "taken" in capfd.readouterr().err
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -1,4 +1,4 @@
-"""`irisstack settings` against the stand-in of a cluster, as an operator uses it."""
+"""`irisstack settings` against a simulated etcd cluster, through the command line."""
 
 import json
 from collections.abc import Iterator
@@ -41,7 +41,7 @@
 
 
 def published_items(server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]) -> dict[str, Any]:
-    """What `show` prints."""
+    """The items that `irisstack settings show` prints."""
     capfd.readouterr()
     assert main(["settings", "show", "--json", "--node", str(node_file)]) == 0
     shown = json.loads(capfd.readouterr().out)
