--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,6 @@
-"""Fixtures and hooks for all tests: logging is restored after each test, and known failures are expected.
+"""Fixtures and hooks for all tests.
+
+Logging is restored after each test, Hypothesis is warmed up before the first, known failures are expected.
 
 `KNOWN-RED.txt` in the root directory lists the tests that fail because of a known fault of this project. Each
 line has the test's id, the cause and the issue, separated by ` | `. These tests are expected to fail and are
@@ -11,6 +13,8 @@
 
 import pytest
 import structlog
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
 
 MAX_KNOWN_FAILURES = 3
 KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
@@ -24,6 +28,28 @@
     structlog.configure(**config)
 
 
+@pytest.fixture(scope="session", autouse=True)
+def _warm_up_hypothesis() -> None:
+    """Let Hypothesis collect the constants in the project's source files before the first test.
+
+    Its first draws do so, which takes more than a second in a new clone. Within a test, the health check for
+    slow input generation counts that time as the strategy's and fails the test.
+    """
+
+    @settings(
+        max_examples=20,
+        derandomize=True,
+        database=None,
+        deadline=None,
+        suppress_health_check=[HealthCheck.too_slow],
+    )
+    @given(st.lists(st.integers(), min_size=20, max_size=20))
+    def draw(_numbers: list[int]) -> None:
+        pass
+
+    draw()
+
+
 def known_failures(root: Path) -> dict[str, str]:
     """The reason for each test that is known to fail; raises `UsageError` if the file is malformed."""
     file = root / KNOWN_FAILURES_FILE
