--- a/irisstack/cli/lab.py
+++ b/irisstack/cli/lab.py
@@ -19,7 +19,7 @@
 
 # The laboratory's libraries take a second to load, so that each command imports what it needs itself.
 
-RESULTS = Path("lab-results")
+DEFAULT_RESULTS = Path("lab-results")
 
 scenario_argument = click.argument("scenario")
 seed_option = click.option("--seed", type=int, help="instead of the scenario's own")
@@ -33,7 +33,7 @@
 out_option = click.option(
     "--out",
     type=click.Path(path_type=Path),
-    default=RESULTS,
+    default=DEFAULT_RESULTS,
     show_default=True,
     help="the folder that results go to",
 )
@@ -55,7 +55,7 @@
 
 
 @contextmanager
-def _bar(what: str) -> Iterator[Callable[[float], None]]:
+def _progress_bar(description: str) -> Iterator[Callable[[float], None]]:
     """A progress bar on standard error, from 0.0 to 1.0; nothing where that is no terminal."""
     with Progress(
         TextColumn("{task.description}"),
@@ -65,11 +65,11 @@
         console=output.stderr_console(),
         transient=True,
     ) as progress:
-        task = progress.add_task(what, total=1.0)
-        yield lambda done: progress.update(task, completed=done)
+        task = progress.add_task(description, total=1.0)
+        yield lambda fraction: progress.update(task, completed=fraction)
 
 
-def _scenario(name: str, changes: tuple[str, ...]) -> "Scenario":
+def _load_scenario(name: str, changes: tuple[str, ...]) -> "Scenario":
     """The scenario asked for; a bad one ends the command."""
     import tomllib
 
@@ -77,22 +77,22 @@
 
     path = scenario.find(name)
     try:
-        found = scenario.read(path)
-        told: dict[str, Any] = {}
+        definition = scenario.read(path)
+        overrides: dict[str, Any] = {}
         for change in changes:
             key, equals, value = change.partition("=")
             try:
-                told[key] = tomllib.loads(f"x = {value}")["x"] if equals else None
+                overrides[key] = tomllib.loads(f"x = {value}")["x"] if equals else None
             except tomllib.TOMLDecodeError:
-                told[key] = value
+                overrides[key] = value
             if not equals:
                 output.fail(f"--set {change}: KEY=VALUE is due", output.USAGE_ERROR)
-        return scenario.changed(found, told, path) if told else found
+        return scenario.changed(definition, overrides, path) if overrides else definition
     except DocumentError as error:
         output.fail(str(error), output.USAGE_ERROR)
 
 
-def _show(run: "Run", as_json: bool) -> None:
+def _print_run(run: "Run", as_json: bool) -> None:
     """What became of every message, and the verdict."""
     import msgspec
 
@@ -103,11 +103,14 @@
     rows = [
         [
             name,
-            *(ends.get(result, 0) for result in results),
+            *(result_counts.get(result, 0) for result in results),
             run.by_class[name],
-            *(run.delays[name][i] if run.delays[name] else None for i in (0, 2)),
+            *(
+                run.delays[name][percentile_index] if run.delays[name] else None
+                for percentile_index in (0, 2)
+            ),
         ]
-        for name, ends in run.ends_by_class.items()
+        for name, result_counts in run.ends_by_class.items()
     ]
     output.print_table(
         ["class", *results, "worth", "median s", "99 % s"],
@@ -115,12 +118,12 @@
         False,
         f"{run.scenario}, {run.policy}, seed {run.seed}",
     )
-    broken = ", ".join(f"{name} ({count})" for name, count in run.breaches.items() if count)
+    broken_rules = ", ".join(f"{name} ({count})" for name, count in run.breaches.items() if count)
     click.echo(
         f"score {run.score:.3f}  whole {run.whole:.3f}  worst 10 s {run.worst_window:.3f}  "
         f"worst class {run.worst_class:.3f}  attempts in vain a message {run.waste:.3f}"
     )
-    click.echo(f"rules broken: {broken}" if broken else "all six rules kept")
+    click.echo(f"rules broken: {broken_rules}" if broken_rules else "all six rules kept")
     if run.not_a_result:
         click.echo(f"not a result: {run.not_a_result}")
     if run.partial:
@@ -133,18 +136,18 @@
     """List the scenarios that come with the program."""
     from irisstack.lab import scenario
 
-    found = [scenario.read(path) for path in sorted(scenario.SHIPPED.glob("*.toml"))]
+    definitions = [scenario.read(path) for path in sorted(scenario.SHIPPED.glob("*.toml"))]
     output.print_table(
         ["name", "seconds", "nodes", "destinations", "shows"],
         [
             [
-                s.scenario.name,
-                s.scenario.length_s,
-                s.senders.count,
-                sum(k.count for k in s.kinds),
-                s.scenario.shows,
+                definition.scenario.name,
+                definition.scenario.length_s,
+                definition.senders.count,
+                sum(kind.count for kind in definition.kinds),
+                definition.scenario.shows,
             ]
-            for s in found
+            for definition in definitions
         ],
         as_json,
     )
@@ -158,26 +161,27 @@
     """Check SCENARIO (a file, or the name of a shipped one) and tell what it comes to."""
     from irisstack.lab.world import build
 
-    found = _scenario(scenario, changes)
-    world = build(found)
+    definition = _load_scenario(scenario, changes)
+    world = build(definition)
     output.print_table(
         ["what", "value"],
         [
-            ["name", found.scenario.name],
+            ["name", definition.scenario.name],
             ["messages", len(world.messages)],
             ["nodes", len(world.senders)],
             ["destinations", len(world.destinations)],
             ["endpoints", len(world.endpoints)],
             [
                 "slots of a node, least and most",
-                f"{min(s.slots for s in world.senders)} to {max(s.slots for s in world.senders)}",
+                f"{min(node.slots for node in world.senders)} to {max(node.slots for node in world.senders)}",
             ],
             *(
                 [
-                    f"trouble: {i.trouble.kind}",
-                    f"{i.begins:.1f} to {i.ends:.1f} s, strikes {len(i.nodes) or len(i.destinations)}",
+                    f"trouble: {incident.trouble.kind}",
+                    f"{incident.begins:.1f} to {incident.ends:.1f} s, "
+                    f"strikes {len(incident.nodes) or len(incident.destinations)}",
                 ]
-                for i in world.incidents
+                for incident in world.incidents
             ),
         ],
         as_json,
@@ -202,16 +206,29 @@
 
     if policy not in POLICIES:
         output.fail(f"--policy: one of {', '.join(POLICIES)} is due, not {policy!r}", output.USAGE_ERROR)
-    found = _scenario(scenario, changes)
-    seed = found.scenario.seed if seed is None else seed
-    world = build(found, seed)
-    with _bar(found.scenario.name) as progress:
-        played = play(world, POLICIES[policy], progress)
+    definition = _load_scenario(scenario, changes)
+    seed = definition.scenario.seed if seed is None else seed
+    world = build(definition, seed)
+    with _progress_bar(definition.scenario.name) as progress:
+        play_result = play(world, POLICIES[policy], progress)
     run, score, breaches = results.audited(
-        world, played.ledger, way="model", policy=policy, seed=seed, cpu_s=played.cpu_s, events=played.events
+        world,
+        play_result.ledger,
+        way="model",
+        policy=policy,
+        seed=seed,
+        cpu_s=play_result.cpu_s,
+        events=play_result.events,
+    )
+    _save_run(
+        out / f"{definition.scenario.name}-model-{policy}-{seed}",
+        world,
+        run,
+        score,
+        breaches,
+        play_result.ledger,
     )
-    _keep(out / f"{found.scenario.name}-model-{policy}-{seed}", world, run, score, breaches, played.ledger)
-    _show(run, as_json)
+    _print_run(run, as_json)
     if not run.rules_kept:
         raise SystemExit(output.FAILED)
 
@@ -224,44 +241,46 @@
 @output.json_option
 def run(scenario: str, seed: int | None, changes: tuple[str, ...], out: Path, as_json: bool) -> None:
     """Play SCENARIO on real sockets, in real time, with one real process for each node."""
-    _run(_scenario(scenario, changes), seed, out, as_json)
+    _run_on_sockets(_load_scenario(scenario, changes), seed, out, as_json)
 
 
 @lab.command(name="try")
 @out_option
 def try_(out: Path) -> None:
     """Play a short day with two real nodes; the first thing to do with the program."""
-    found = _scenario("short-day", ())
-    partners = sum(kind.count for kind in found.kinds)
+    definition = _load_scenario("short-day", ())
+    destinations = sum(kind.count for kind in definition.kinds)
     click.echo(
-        f"Two nodes, {partners} partners, {found.scenario.length_s:g} s: {found.scenario.shows}", err=True
+        f"Two nodes, {destinations} destinations, {definition.scenario.length_s:g} s: "
+        f"{definition.scenario.shows}",
+        err=True,
     )
-    _run(found, None, out, False)
+    _run_on_sockets(definition, None, out, False)
     click.echo(
         "Change a number and look again: irisstack lab run short-day --set traffic.rate=60.0", err=True
     )
 
 
-def _run(found: "Scenario", seed: int | None, out: Path, as_json: bool) -> None:
+def _run_on_sockets(definition: "Scenario", seed: int | None, out: Path, as_json: bool) -> None:
     from irisstack.lab import results
     from irisstack.lab.sockets.play import play
     from irisstack.lab.sockets.run_context import RunError
     from irisstack.lab.world import build
 
-    seed = found.scenario.seed if seed is None else seed
-    world = build(found, seed)
-    folder = out / f"{found.scenario.name}-sockets-{seed}"
+    seed = definition.scenario.seed if seed is None else seed
+    world = build(definition, seed)
+    folder = out / f"{definition.scenario.name}-sockets-{seed}"
     try:
-        with _bar(found.scenario.name) as progress:
-            played = play(world, folder / "nodes", progress)
+        with _progress_bar(definition.scenario.name) as progress:
+            play_result = play(world, folder / "nodes", progress)
     except (RunError, OSError) as error:
         output.fail(str(error))
     run, score, breaches = results.audited(
-        world, played.ledger, way="sockets", policy="module", seed=seed, cpu_s=played.cpu_s
+        world, play_result.ledger, way="sockets", policy="module", seed=seed, cpu_s=play_result.cpu_s
     )
-    run.partial, run.not_a_result = played.partial, played.not_a_result
-    _keep(folder, world, run, score, breaches, played.ledger)
-    _show(run, as_json)
+    run.partial, run.not_a_result = play_result.partial, play_result.not_a_result
+    _save_run(folder, world, run, score, breaches, play_result.ledger)
+    _print_run(run, as_json)
     if not run.rules_kept or run.partial or run.not_a_result:
         raise SystemExit(output.FAILED)
 
@@ -270,6 +289,7 @@
 @scenario_argument
 @click.option(
     "--first",
+    "first_rate",
     type=click.FloatRange(1.0),
     default=50.0,
     show_default=True,
@@ -277,16 +297,21 @@
 )
 @click.option("--steps", type=click.IntRange(1, 30), default=12, show_default=True)
 @click.option(
-    "--seconds", type=click.FloatRange(2.0, 600.0), default=8.0, show_default=True, help="length of a step"
+    "--seconds",
+    "step_seconds",
+    type=click.FloatRange(2.0, 600.0),
+    default=8.0,
+    show_default=True,
+    help="length of a step",
 )
 @set_option
 @out_option
 @output.json_option
 def capacity_search(
     scenario: str,
-    first: float,
+    first_rate: float,
     steps: int,
-    seconds: float,
+    step_seconds: float,
     changes: tuple[str, ...],
     out: Path,
     as_json: bool,
@@ -295,14 +320,14 @@
     from irisstack.lab import capacity_search as search
     from irisstack.lab.sockets.run_context import RunError
 
-    found = _scenario(scenario, changes)
-    folder = out / f"{found.scenario.name}-capacity-search"
+    definition = _load_scenario(scenario, changes)
+    folder = out / f"{definition.scenario.name}-capacity-search"
     steps_played: list[search.LoadStep] = []
     try:
-        with _bar("capacity search") as progress:
-            steps_played.extend(search.search(found, first, steps, seconds, progress))
+        with _progress_bar("capacity search") as progress:
+            steps_played.extend(search.search(definition, first_rate, steps, step_seconds, progress))
         folder.mkdir(parents=True, exist_ok=True)
-        search.write_page(folder / "report.html", found.scenario.name, steps_played)
+        search.write_page(folder / "report.html", definition.scenario.name, steps_played)
     except (RunError, OSError) as error:
         output.fail(str(error))
     output.print_table(search.COLUMNS, search.rows(steps_played), as_json)
@@ -312,7 +337,7 @@
 lab.add_command(_hidden_alias(capacity_search, "knee"))
 
 
-def _keep(folder: Path, world: Any, run: Any, score: Any, breaches: Any, entries: Any) -> None:
+def _save_run(folder: Path, world: Any, run: Any, score: Any, breaches: Any, entries: Any) -> None:
     """Save a run with its page."""
     from irisstack.lab import report, results
 
@@ -334,16 +359,18 @@
     from irisstack.lab import experiment as experiments
 
     try:
-        told = experiments.read(experiment)
-        work = experiments.jobs(told, experiment)
+        definition = experiments.read(experiment)
+        jobs = experiments.jobs(definition, experiment)
     except DocumentError as error:
         output.fail(str(error), output.USAGE_ERROR)
-    folder = out / told.experiment.name
+    folder = out / definition.experiment.name
     runs: list[Run] = []
     try:
-        with _bar(told.experiment.name) as progress:
+        with _progress_bar(definition.experiment.name) as progress:
             runs.extend(
-                experiments.sweep(work, folder / "runs.jsonl", workers, lambda done, of: progress(done / of))
+                experiments.sweep(
+                    jobs, folder / "runs.jsonl", workers, lambda done, total: progress(done / total)
+                )
             )
     except OSError as error:
         output.fail(f"{folder}: cannot be written: {error.strerror}")
@@ -351,23 +378,33 @@
         output.fail(str(error))
     except KeyboardInterrupt:
         output.fail(
-            f"interrupted with {len(runs)} of {len(work)} runs kept in {folder}; the same command goes on"
+            f"interrupted with {len(runs)} of {len(jobs)} runs kept in {folder}; the same command goes on"
         )
-    asked = {job.key: place for place, job in enumerate(work)}
-    runs.sort(key=lambda run: asked[run.scenario, run.variant, run.seed, run.fingerprint])
-    _write_sweep_page(folder, told.experiment.name, told.experiment.asks, runs)
-    _summaries(runs, as_json)
+    job_order = {job.key: position for position, job in enumerate(jobs)}
+    runs.sort(key=lambda run: job_order[run.scenario, run.variant, run.seed, run.fingerprint])
+    _write_sweep_page(folder, definition.experiment.name, definition.experiment.asks, runs)
+    _print_summaries(runs, as_json)
 
 
-def _summaries(runs: "list[Run]", as_json: bool) -> None:
+def _print_summaries(runs: "list[Run]", as_json: bool) -> None:
     from irisstack.lab import compare
 
     columns = ("scenario", "variant", "runs", "score", "low", "high", "whole", "in vain", "rules broken in")
     output.print_table(
         columns,
         [
-            [s.scenario, s.variant, s.runs, s.score, s.low, s.high, s.whole, s.waste, s.broken]
-            for s in compare.summaries(runs)
+            [
+                summary.scenario,
+                summary.variant,
+                summary.runs,
+                summary.score,
+                summary.low,
+                summary.high,
+                summary.whole,
+                summary.waste,
+                summary.broken,
+            ]
+            for summary in compare.summaries(runs)
         ],
         as_json,
     )
@@ -381,17 +418,17 @@
     click.echo(f"kept in {folder}, report in {path}", err=True)
 
 
-def _runs(path: Path) -> "list[Run]":
+def _load_runs(path: Path) -> "list[Run]":
     """The runs of a sweep's folder or file, or the one of a run's folder."""
     from irisstack.lab import experiment, results
 
     try:
         if (path / "run.json").exists():
             return [results.load(path)]
-        file = path / "runs.jsonl" if path.is_dir() else path
-        if not file.exists():
+        runs_file = path / "runs.jsonl" if path.is_dir() else path
+        if not runs_file.exists():
             output.fail(f"{path}: no results there", output.USAGE_ERROR)
-        return experiment.kept(file)
+        return experiment.kept(runs_file)
     except (OSError, ValueError) as error:
         output.fail(str(error))
 
@@ -400,34 +437,44 @@
 @click.argument("a")
 @click.argument("b")
 @click.option(
-    "--results", "where", type=click.Path(path_type=Path), help="the sweep whose variants A and B are"
+    "--results", "sweep_path", type=click.Path(path_type=Path), help="the sweep whose variants A and B are"
 )
 @output.json_option
-def compare(a: str, b: str, where: Path | None, as_json: bool) -> None:
+def compare(a: str, b: str, sweep_path: Path | None, as_json: bool) -> None:
     """Compare two variants of a sweep (with --results), or two folders of results A and B, seed by seed."""
-    from irisstack.lab import compare as comparing
+    from irisstack.lab import compare as comparison
 
-    if where is not None:
-        runs = _runs(where)
+    if sweep_path is not None:
+        runs = _load_runs(sweep_path)
         names = {run.variant for run in runs}
         for name in (a, b):
             if name not in names:
                 output.fail(
-                    f"no variant {name!r} in {where}; there are {', '.join(sorted(names))}",
+                    f"no variant {name!r} in {sweep_path}; there are {', '.join(sorted(names))}",
                     output.USAGE_ERROR,
                 )
-        left, right = ([run for run in runs if run.variant == name] for name in (a, b))
+        runs_a, runs_b = ([run for run in runs if run.variant == name] for name in (a, b))
     else:
-        left, right = _runs(Path(a)), _runs(Path(b))
-    found = comparing.differences(left, right)
-    if not found:
+        runs_a, runs_b = _load_runs(Path(a)), _load_runs(Path(b))
+    differences = comparison.differences(runs_a, runs_b)
+    if not differences:
         output.fail("nothing to compare: no scenario and seed that both have", output.USAGE_ERROR)
     columns = ("scenario", "figure", "pairs", a, b, "difference", "low", "high", "outcome")
     output.print_table(
         columns,
         [
-            [d.scenario, d.metric, d.pairs, d.mean_a, d.mean_b, d.difference, d.low, d.high, d.words(a, b)]
-            for d in found
+            [
+                difference.scenario,
+                difference.metric,
+                difference.pairs,
+                difference.mean_a,
+                difference.mean_b,
+                difference.difference,
+                difference.low,
+                difference.high,
+                difference.words(a, b),
+            ]
+            for difference in differences
         ],
         as_json,
     )
@@ -437,24 +484,30 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def report(folder: Path) -> None:
     """Write the page of a kept run or sweep anew, from its ledger or its runs."""
-    from irisstack.configuration.document import check as checked
+    from irisstack.configuration.document import check as validate
     from irisstack.configuration.document import parse
     from irisstack.lab import ledger, report, results
     from irisstack.lab.scenario import Scenario
     from irisstack.lab.world import build
 
     if not (folder / "run.json").exists():
-        runs = _runs(folder)
+        runs = _load_runs(folder)
         _write_sweep_page(folder, folder.name, "", runs)
         return
     try:
-        kept = results.load(folder)
-        scenario = checked(folder / "scenario.json", parse(folder / "scenario.json"), Scenario)
+        saved_run = results.load(folder)
+        scenario = validate(folder / "scenario.json", parse(folder / "scenario.json"), Scenario)
         entries = ledger.read(folder / "ledger.jsonl.gz")
     except (OSError, ValueError, EOFError, DocumentError) as error:
         output.fail(str(error))
-    world = build(scenario, kept.seed)
-    run, score, breaches = results.audited(world, entries, way=kept.way, policy=kept.policy, seed=kept.seed)
-    run.versions, run.partial, run.not_a_result = kept.versions, kept.partial, kept.not_a_result
+    world = build(scenario, saved_run.seed)
+    run, score, breaches = results.audited(
+        world, entries, way=saved_run.way, policy=saved_run.policy, seed=saved_run.seed
+    )
+    run.versions, run.partial, run.not_a_result = (
+        saved_run.versions,
+        saved_run.partial,
+        saved_run.not_a_result,
+    )
     report.write(folder / "report.html", report.of_run(world, run, score, breaches, entries))
     click.echo(f"report in {folder / 'report.html'}", err=True)
