--- a/irisstack/cli/lab.py
+++ b/irisstack/cli/lab.py
@@ -1,4 +1,4 @@
-"""`irisstack lab`: play scenarios, sweep experiments, compare and report."""
+"""`irisstack lab`: run scenarios and experiments, compare and report their results."""
 
 import copy
 from collections.abc import Callable, Iterator
@@ -17,38 +17,38 @@
     from irisstack.lab.results import Run
     from irisstack.lab.scenario import Scenario
 
-# The laboratory's libraries take a second to load, so that each command imports what it needs itself.
+# The laboratory's libraries take a second to import, so each command imports only what it needs.
 
 DEFAULT_RESULTS = Path("lab-results")
 
 scenario_argument = click.argument("scenario")
-seed_option = click.option("--seed", type=int, help="instead of the scenario's own")
+seed_option = click.option("--seed", type=int, help="replaces the scenario's own seed")
 set_option = click.option(
     "--set",
     "changes",
     multiple=True,
     metavar="KEY=VALUE",
-    help="a key that is other: --set traffic.rate=60.0",
+    help="overrides a key of the scenario, for example --set traffic.rate=60.0",
 )
 out_option = click.option(
     "--out",
     type=click.Path(path_type=Path),
     default=DEFAULT_RESULTS,
     show_default=True,
-    help="the folder that results go to",
+    help="directory for the results",
 )
 
 
 @click.group()
 def lab() -> None:
-    """Play described worlds in virtual time or on real sockets, audit and compare them."""
+    """Run scenarios in virtual time or on real sockets, audit the runs and compare them."""
 
 
 lab.add_command(capacity)
 
 
 def _hidden_alias(command: click.Command, name: str) -> click.Command:
-    """A command under a former name: it works as before and is not listed."""
+    """Copy a command under its former name, which keeps working but is not listed in the help."""
     alias = copy.copy(command)
     alias.name, alias.hidden = name, True
     return alias
@@ -56,7 +56,7 @@
 
 @contextmanager
 def _progress_bar(description: str) -> Iterator[Callable[[float], None]]:
-    """A progress bar on standard error, from 0.0 to 1.0; nothing where that is no terminal."""
+    """Show a progress bar on standard error if it is a terminal; yields a function that sets 0.0 to 1.0."""
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -70,7 +70,7 @@
 
 
 def _load_scenario(name: str, changes: tuple[str, ...]) -> "Scenario":
-    """The scenario asked for; a bad one ends the command."""
+    """Load a scenario and apply the overrides of --set; exits with a usage error if it is invalid."""
     import tomllib
 
     from irisstack.lab import scenario
@@ -86,14 +86,14 @@
             except tomllib.TOMLDecodeError:
                 overrides[key] = value
             if not equals:
-                output.fail(f"--set {change}: KEY=VALUE is due", output.USAGE_ERROR)
+                output.fail(f"--set {change}: expected KEY=VALUE", output.USAGE_ERROR)
         return scenario.changed(definition, overrides, path) if overrides else definition
     except DocumentError as error:
         output.fail(str(error), output.USAGE_ERROR)
 
 
 def _print_run(run: "Run", as_json: bool) -> None:
-    """What became of every message, and the verdict."""
+    """Print the results by message class, the scores and the broken rules."""
     import msgspec
 
     if as_json:
@@ -133,7 +133,7 @@
 @lab.command()
 @output.json_option
 def scenarios(as_json: bool) -> None:
-    """List the scenarios that come with the program."""
+    """List the scenarios that are included in the package."""
     from irisstack.lab import scenario
 
     definitions = [scenario.read(path) for path in sorted(scenario.SHIPPED.glob("*.toml"))]
@@ -158,7 +158,7 @@
 @set_option
 @output.json_option
 def check(scenario: str, changes: tuple[str, ...], as_json: bool) -> None:
-    """Check SCENARIO (a file, or the name of a shipped one) and tell what it comes to."""
+    """Check SCENARIO (a file, or the name of an included one) and print its size and troubles."""
     from irisstack.lab.world import build
 
     definition = _load_scenario(scenario, changes)
@@ -192,20 +192,20 @@
 @scenario_argument
 @seed_option
 @set_option
-@click.option("--policy", default="module", show_default=True, help="what decides in the nodes")
+@click.option("--policy", default="module", show_default=True, help="decision policy of the nodes")
 @out_option
 @output.json_option
 def model(
     scenario: str, seed: int | None, changes: tuple[str, ...], policy: str, out: Path, as_json: bool
 ) -> None:
-    """Play SCENARIO in virtual time."""
+    """Simulate SCENARIO in virtual time."""
     from irisstack.lab import results
     from irisstack.lab.baselines import POLICIES
     from irisstack.lab.virtual.play import play
     from irisstack.lab.world import build
 
     if policy not in POLICIES:
-        output.fail(f"--policy: one of {', '.join(POLICIES)} is due, not {policy!r}", output.USAGE_ERROR)
+        output.fail(f"--policy: expected one of {', '.join(POLICIES)}, got {policy!r}", output.USAGE_ERROR)
     definition = _load_scenario(scenario, changes)
     seed = definition.scenario.seed if seed is None else seed
     world = build(definition, seed)
@@ -240,14 +240,14 @@
 @out_option
 @output.json_option
 def run(scenario: str, seed: int | None, changes: tuple[str, ...], out: Path, as_json: bool) -> None:
-    """Play SCENARIO on real sockets, in real time, with one real process for each node."""
+    """Run SCENARIO on real sockets, in real time, with one process for each node."""
     _run_on_sockets(_load_scenario(scenario, changes), seed, out, as_json)
 
 
 @lab.command(name="try")
 @out_option
 def try_(out: Path) -> None:
-    """Play a short day with two real nodes; the first thing to do with the program."""
+    """Run the scenario short-day with two real nodes; a first look at the program."""
     definition = _load_scenario("short-day", ())
     destinations = sum(kind.count for kind in definition.kinds)
     click.echo(
@@ -257,7 +257,7 @@
     )
     _run_on_sockets(definition, None, out, False)
     click.echo(
-        "Change a number and look again: irisstack lab run short-day --set traffic.rate=60.0", err=True
+        "Change a value and run it again: irisstack lab run short-day --set traffic.rate=60.0", err=True
     )
 
 
@@ -293,7 +293,7 @@
     type=click.FloatRange(1.0),
     default=50.0,
     show_default=True,
-    help="messages a second of the first step",
+    help="rate of the first step, in messages per second",
 )
 @click.option("--steps", type=click.IntRange(1, 30), default=12, show_default=True)
 @click.option(
@@ -302,7 +302,7 @@
     type=click.FloatRange(2.0, 600.0),
     default=8.0,
     show_default=True,
-    help="length of a step",
+    help="duration of a step, in seconds",
 )
 @set_option
 @out_option
@@ -316,7 +316,7 @@
     out: Path,
     as_json: bool,
 ) -> None:
-    """Raise the rate step by step on one real node, without SCENARIO's troubles, until it is saturated."""
+    """Raise the rate of SCENARIO, without its troubles, in steps until one real node is saturated."""
     from irisstack.lab import capacity_search as search
     from irisstack.lab.sockets.run_context import RunError
 
@@ -338,7 +338,7 @@
 
 
 def _save_run(folder: Path, world: Any, run: Any, score: Any, breaches: Any, entries: Any) -> None:
-    """Save a run with its page."""
+    """Save the results of a run and its report page."""
     from irisstack.lab import report, results
 
     try:
@@ -346,16 +346,18 @@
         report.write(folder / "report.html", report.of_run(world, run, score, breaches, entries))
     except OSError as error:
         output.fail(f"{folder}: cannot be written: {error.strerror}")
-    click.echo(f"kept in {folder}, report in {folder / 'report.html'}", err=True)
+    click.echo(f"results in {folder}, report in {folder / 'report.html'}", err=True)
 
 
 @lab.command()
 @click.argument("experiment", type=click.Path(path_type=Path))
-@click.option("--workers", type=click.IntRange(1), help="processes; all cores unless told")
+@click.option(
+    "--workers", type=click.IntRange(1), help="number of processes; defaults to the number of cores"
+)
 @out_option
 @output.json_option
 def sweep(experiment: Path, workers: int | None, out: Path, as_json: bool) -> None:
-    """Play every scenario, variant and seed of EXPERIMENT; goes on where an earlier one was stopped."""
+    """Simulate each scenario, variant and seed of EXPERIMENT; resumes a sweep that was interrupted."""
     from irisstack.lab import experiment as experiments
 
     try:
@@ -378,7 +380,7 @@
         output.fail(str(error))
     except KeyboardInterrupt:
         output.fail(
-            f"interrupted with {len(runs)} of {len(jobs)} runs kept in {folder}; the same command goes on"
+            f"interrupted: {len(runs)} of {len(jobs)} runs saved in {folder}; the same command resumes"
         )
     job_order = {job.key: position for position, job in enumerate(jobs)}
     runs.sort(key=lambda run: job_order[run.scenario, run.variant, run.seed, run.fingerprint])
@@ -415,11 +417,11 @@
 
     path = folder / "report.html"
     sweep_page.write(path, name, asks, runs)
-    click.echo(f"kept in {folder}, report in {path}", err=True)
+    click.echo(f"results in {folder}, report in {path}", err=True)
 
 
 def _load_runs(path: Path) -> "list[Run]":
-    """The runs of a sweep's folder or file, or the one of a run's folder."""
+    """Load the runs of a sweep (its directory or file), or the one run of a run's directory."""
     from irisstack.lab import experiment, results
 
     try:
@@ -427,7 +429,7 @@
             return [results.load(path)]
         runs_file = path / "runs.jsonl" if path.is_dir() else path
         if not runs_file.exists():
-            output.fail(f"{path}: no results there", output.USAGE_ERROR)
+            output.fail(f"{path}: no results found", output.USAGE_ERROR)
         return experiment.kept(runs_file)
     except (OSError, ValueError) as error:
         output.fail(str(error))
@@ -437,11 +439,14 @@
 @click.argument("a")
 @click.argument("b")
 @click.option(
-    "--results", "sweep_path", type=click.Path(path_type=Path), help="the sweep whose variants A and B are"
+    "--results",
+    "sweep_path",
+    type=click.Path(path_type=Path),
+    help="results of the sweep that has the variants A and B",
 )
 @output.json_option
 def compare(a: str, b: str, sweep_path: Path | None, as_json: bool) -> None:
-    """Compare two variants of a sweep (with --results), or two folders of results A and B, seed by seed."""
+    """Compare, seed by seed, two variants of a sweep (with --results), or two result directories A and B."""
     from irisstack.lab import compare as comparison
 
     if sweep_path is not None:
@@ -450,7 +455,7 @@
         for name in (a, b):
             if name not in names:
                 output.fail(
-                    f"no variant {name!r} in {sweep_path}; there are {', '.join(sorted(names))}",
+                    f"no variant {name!r} in {sweep_path}: expected one of {', '.join(sorted(names))}",
                     output.USAGE_ERROR,
                 )
         runs_a, runs_b = ([run for run in runs if run.variant == name] for name in (a, b))
@@ -458,7 +463,7 @@
         runs_a, runs_b = _load_runs(Path(a)), _load_runs(Path(b))
     differences = comparison.differences(runs_a, runs_b)
     if not differences:
-        output.fail("nothing to compare: no scenario and seed that both have", output.USAGE_ERROR)
+        output.fail("nothing to compare: A and B have no scenario and seed in common", output.USAGE_ERROR)
     columns = ("scenario", "figure", "pairs", a, b, "difference", "low", "high", "outcome")
     output.print_table(
         columns,
@@ -483,7 +488,7 @@
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path))
 def report(folder: Path) -> None:
-    """Write the page of a kept run or sweep anew, from its ledger or its runs."""
+    """Regenerate the report of a saved run or sweep, from its ledger or its runs."""
     from irisstack.configuration.document import check as validate
     from irisstack.configuration.document import parse
     from irisstack.lab import ledger, report, results
--- a/tests/cli/test_lab_commands.py
+++ b/tests/cli/test_lab_commands.py
@@ -20,13 +20,13 @@
     ("words", "code", "due"),
     [
         (["model", "none.toml"], 2, "cannot be read"),
-        (["model", "small.toml", "--policy", "luck"], 2, "one of module"),
+        (["model", "small.toml", "--policy", "luck"], 2, "expected one of module"),
         (["model", "small.toml", "--set", "traffic.rate=-1"], 2, "traffic.rate"),
-        (["model", "small.toml", "--set", "traffic.rate"], 2, "KEY=VALUE is due"),
+        (["model", "small.toml", "--set", "traffic.rate"], 2, "expected KEY=VALUE"),
         (["check", "small.toml", "--set", "traffic.speed=1"], 2, "no such key"),
         (["run", "small.toml", "--set", "senders.count=65"], 1, "64 at the most"),
-        (["compare", "a", "b"], 2, "no results there"),
-        (["report", "a"], 2, "no results there"),
+        (["compare", "a", "b"], 2, "no results found"),
+        (["report", "a"], 2, "no results found"),
         (["sweep", "small.toml"], 2, "experiment: required key is missing"),
     ],
 )
@@ -90,5 +90,5 @@
     assert main(["lab", "compare", "module", "once", "--results", "lab-results/two", "--json"]) == 0
     assert {row["pairs"] for row in json.loads(capfd.readouterr().out)} == {2}
     assert main(["lab", "compare", "module", "twice", "--results", "lab-results/two"]) == 2
-    assert "there are module, once" in capfd.readouterr().err
+    assert "expected one of module, once" in capfd.readouterr().err
     assert "report.html" in os.listdir("lab-results/two")
