--- a/tests/cli/test_lab_commands.py
+++ b/tests/cli/test_lab_commands.py
@@ -11,13 +11,13 @@
 
 
 @pytest.fixture(autouse=True)
-def _in_a_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def _in_temporary_directory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(tmp_path)
     Path("small.toml").write_text(SMALL)
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "due"),
+    ("arguments", "code", "expected"),
     [
         (["model", "none.toml"], 2, "cannot be read"),
         (["model", "small.toml", "--policy", "luck"], 2, "expected one of module"),
@@ -30,46 +30,46 @@
         (["sweep", "small.toml"], 2, "experiment: required key is missing"),
     ],
 )
-def test_bad_input_is_one_clear_message(
-    words: list[str], code: int, due: str, capfd: pytest.CaptureFixture[str]
+def test_invalid_input_gives_one_clear_message(
+    arguments: list[str], code: int, expected: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["lab", *words]) == code
+    assert main(["lab", *arguments]) == code
     err = capfd.readouterr().err
-    assert due in err
+    assert expected in err
     assert "Traceback" not in err
 
 
-def test_a_played_model_is_kept_and_its_page_can_be_made_anew(capfd: pytest.CaptureFixture[str]) -> None:
+def test_model_run_is_saved_and_its_page_can_be_regenerated(capfd: pytest.CaptureFixture[str]) -> None:
     assert main(["lab", "model", "small.toml", "--json"]) == 0
-    figures = json.loads(capfd.readouterr().out)
+    run = json.loads(capfd.readouterr().out)
     folder = Path("lab-results/small-model-module-1")
     page = folder / "report.html"
-    first = page.read_bytes()
+    original = page.read_bytes()
     page.unlink()
     assert main(["lab", "report", str(folder)]) == 0
-    assert page.read_bytes() == first  # the ledger alone gives the same page
-    assert figures["ends"]["delivered"] > 0
+    assert page.read_bytes() == original  # the ledger alone gives the same page
+    assert run["ends"]["delivered"] > 0
     (folder / "ledger.jsonl.gz").write_bytes(b"spoilt")
     assert main(["lab", "report", str(folder)]) == 1
 
 
-def test_a_folder_that_cannot_be_written_is_told(capfd: pytest.CaptureFixture[str]) -> None:
+def test_unwritable_output_directory_is_reported(capfd: pytest.CaptureFixture[str]) -> None:
     Path("taken").write_text("a file where a folder is due")
     assert main(["lab", "model", "small.toml", "--out", "taken/here"]) == 1
     assert "cannot be written" in capfd.readouterr().err
 
 
-def test_a_renamed_command_still_answers_to_its_former_name(capfd: pytest.CaptureFixture[str]) -> None:
+def test_renamed_command_still_works_under_its_former_name(capfd: pytest.CaptureFixture[str]) -> None:
     assert main(["lab", "--help"]) == 0
-    listed = capfd.readouterr().out
-    assert "capacity-search" in listed
-    assert "knee" not in listed
+    help_text = capfd.readouterr().out
+    assert "capacity-search" in help_text
+    assert "knee" not in help_text
     for name in ("capacity-search", "knee"):
         assert main(["lab", name, "none.toml"]) == 2
         assert "cannot be read" in capfd.readouterr().err
 
 
-def test_a_broken_rule_is_a_failure(capfd: pytest.CaptureFixture[str]) -> None:
+def test_broken_rule_fails_the_command(capfd: pytest.CaptureFixture[str]) -> None:
     cold = "cold = { start = 0.1, warm_s = 8.0, tip_multiple = 1.2, tip_s = 0.5 }\nshared_calls = 3"
     text = SMALL.replace("shared_calls = 3", cold).replace("rate = 20.0", "rate = 120.0")
     Path("cold.toml").write_text(text + trouble("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0))
@@ -77,7 +77,7 @@
     assert "rules broken: not pushed over" in capfd.readouterr().out
 
 
-def test_a_sweep_and_a_comparison(capfd: pytest.CaptureFixture[str]) -> None:
+def test_sweep_and_comparison(capfd: pytest.CaptureFixture[str]) -> None:
     Path("two.toml").write_text(
         '[experiment]\nname = "two"\nscenarios = ["small.toml"]\nseeds = 2\n'
         '[[variants]]\nname = "module"\n[[variants]]\nname = "once"\npolicy = "one-try"\n'
