--- a/tests/cli/test_lab_commands.py
+++ b/tests/cli/test_lab_commands.py
@@ -1,4 +1,4 @@
-"""`irisstack lab` as a user meets it: results kept, pages written, and one clear message for bad input."""
+"""`irisstack lab` through the command line: saved results, reports, and one clear message for bad input."""
 
 import json
 import os
@@ -47,14 +47,14 @@
     original = page.read_bytes()
     page.unlink()
     assert main(["lab", "report", str(folder)]) == 0
-    assert page.read_bytes() == original  # the ledger alone gives the same page
+    assert page.read_bytes() == original  # the saved ledger is enough to write the same page
     assert run["ends"]["delivered"] > 0
     (folder / "ledger.jsonl.gz").write_bytes(b"spoilt")
     assert main(["lab", "report", str(folder)]) == 1
 
 
 def test_unwritable_output_directory_is_reported(capfd: pytest.CaptureFixture[str]) -> None:
-    Path("taken").write_text("a file where a folder is due")
+    Path("taken").write_text("a file instead of a directory")
     assert main(["lab", "model", "small.toml", "--out", "taken/here"]) == 1
     assert "cannot be written" in capfd.readouterr().err
 
