--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -34,12 +34,12 @@
 from irisstack.node.store import Entry, Store
 from irisstack.shadow import ShadowSender
 
-NO_TOKEN = -1
+OWN_TIMER_TOKEN = -1
 """Of a timer that the node set for itself."""
 REJECTION_RETRY_AFTER = 1.0
 """Seconds after which one that finds no room here may come again, where the settings allow such advice."""
 
-FOLDER_RETRY = 0.05
+STATE_DIRECTORY_RETRY_INTERVAL = 0.05
 """Seconds between two looks at a folder that cannot be written."""
 
 log = structlog.get_logger()
@@ -94,7 +94,7 @@
     """For whom new messages are taken on."""
 
 
-Item = Submission | AttemptResult | api.EndpointsUpdated | api.PeerMessage | NewSettings
+MailboxItem = Submission | AttemptResult | api.EndpointsUpdated | api.PeerMessage | NewSettings
 """What comes to the decider's mailbox."""
 
 
@@ -102,13 +102,15 @@
 class _Turn:
     """What one turn brings about, in the order in which it is carried out."""
 
-    arrivals: dict[int, Submission] = field(default_factory=dict)
+    submissions: dict[int, Submission] = field(default_factory=dict)
     records: list[bytes] = field(default_factory=list)
-    ends: list[Entry] = field(default_factory=list)  # of which the platform is to hear
+    finished: list[Entry] = field(default_factory=list)  # of which the platform is to hear
     answers: list[tuple[Submission, HTTPStatus, float | None]] = field(default_factory=list)
-    again: list[tuple[Submission, int]] = field(default_factory=list)  # handed in before, under this number
+    resubmissions: list[tuple[Submission, int]] = field(
+        default_factory=list
+    )  # handed in before, under this number
     sends: list[api.Send] = field(default_factory=list)
-    others: list[api.Action] = field(default_factory=list)
+    other_actions: list[api.Action] = field(default_factory=list)
 
 
 class Decider:
@@ -130,43 +132,47 @@
         apply_settings: Callable[[NewSettings], api.EndpointsUpdated | None] | None = None,
     ) -> None:
         """`settings_taken` puts other settings in force in all other parts; None where they never change."""
-        self._settings_taken = apply_settings
-        self._classless: list[tuple[float, Entry]] = []  # owed till then, under classes not known yet
+        self._apply_settings = apply_settings
+        self._unknown_class_entries: list[
+            tuple[float, Entry]
+        ] = []  # owed till then, under classes not known yet
         self._sender = Sender(settings, seed)
         if trial_settings is not None:
             self._sender = ShadowSender(settings, trial_settings, seed, counters.add)
-        self._tell = send_gossip
+        self._send_gossip = send_gossip
         self._store = store
         self._clock = store.clock
-        self._step_watch = StepDetector()
+        self._step_detector = StepDetector()
         self._counters = counters
-        self._call = send_command
-        self._ask = request_endpoints
-        self._notice = post_notice
-        self.mailbox: Queue[Item] = Queue(1)
+        self._send_command = send_command
+        self._request_endpoints = request_endpoints
+        self._post_notice = post_notice
+        self.mailbox: Queue[MailboxItem] = Queue(1)
         self.set_mailbox_capacity(mailbox_capacity)
-        self._next: list[api.Event] = []  # known already, for the next turn
+        self._next_events: list[api.Event] = []  # known already, for the next turn
         self._timers: list[tuple[float, int]] = []
         self._in_flight: dict[int, tuple[api.Address, float]] = {}  # calls out: endpoint, sent at
-        self._listed: dict[api.Address, api.Endpoint] = {}
-        self._untold: list[Entry] = []  # ended, but that is not on record yet
-        self._gone: dict[api.Address, float] = {}  # of these, the ones no longer listed, and since when
+        self._endpoints: dict[api.Address, api.Endpoint] = {}
+        self._deferred_notices: list[Entry] = []  # ended, but that is not on record yet
+        self._unlisted_since: dict[
+            api.Address, float
+        ] = {}  # of these, the ones no longer listed, and since when
         self._destinations: set[int] = set()
-        self._turned = -1.0
-        self._adopt(settings)
+        self._last_turn_at = -1.0
+        self._set_settings(settings)
         self.rejecting = False  # nothing new is taken on
         self.sends_stopped = False  # nothing more is sent
 
-    def _adopt(self, settings: api.Settings) -> None:
+    def _set_settings(self, settings: api.Settings) -> None:
         self._settings = settings
-        self._classes = {kind.name: i for i, kind in enumerate(settings.classes)}
-        self._remembered = max(kind.deadline for kind in settings.classes)
-        self._come_again = rejection_retry_after(settings)
+        self._classes = {message_class.name: i for i, message_class in enumerate(settings.classes)}
+        self._endpoint_retention = max(message_class.deadline for message_class in settings.classes)
+        self._rejection_retry_after = rejection_retry_after(settings)
 
-    def set_mailbox_capacity(self, room: int) -> None:
+    def set_mailbox_capacity(self, capacity: int) -> None:
         """Let the mailbox hold so many items at least; notes may fill half of it."""
-        enlarge(self.mailbox, room)
-        self._most_notes = room // 2
+        enlarge(self.mailbox, capacity)
+        self._gossip_limit = capacity // 2
 
     @property
     def calls_in_flight(self) -> int:
@@ -174,49 +180,49 @@
 
     # ---- the start ----
 
-    def recover(self, known: api.EndpointsUpdated) -> None:
+    def recover(self, cached_list: api.EndpointsUpdated) -> None:
         """The list as it was last held, and what an earlier life of this node owes."""
         now = time.monotonic()
-        self._apply_update(known, now)
-        owed: list[api.Event] = []
+        self._apply_update(cached_list, now)
+        pending: list[api.Event] = []
         for _, entry in sorted(self._store.entries.items()):  # in the order in which they were taken on
             if entry.notice_pending:
-                self._notice(entry)
+                self._post_notice(entry)
             if not entry.pending:
                 continue
             if entry.message_class in self._classes:
-                owed.append(self._received(entry))
-            elif self._settings_taken is not None:  # the settings that it was taken on under may yet come
+                pending.append(self._received_event(entry))
+            elif self._apply_settings is not None:  # the settings that it was taken on under may yet come
                 due = self._clock.to_monotonic(entry.due)
-                self._classless.append((due, entry))
-                heappush(self._timers, (due, NO_TOKEN))
+                self._unknown_class_entries.append((due, entry))
+                heappush(self._timers, (due, OWN_TIMER_TOKEN))
             else:  # the settings changed between two lives
-                self._class_gone(entry)
-        self._next = [known, *owed]
-        self._counters.add("recovered", len(owed))
+                self._finish_unknown_class(entry)
+        self._next_events = [cached_list, *pending]
+        self._counters.add("recovered", len(pending))
 
-    def _class_gone(self, entry: Entry) -> None:
+    def _finish_unknown_class(self, entry: Entry) -> None:
         log.error("class_gone", message_class=entry.message_class, id=entry.id)
-        self._store.write([self._over(entry.number, "dead")], self._clock.now())
-        self._notice(entry)
+        self._store.write([self._finish(entry.number, "dead")], self._clock.now())
+        self._post_notice(entry)
 
-    def _recover_classless(self, now: float) -> list[api.Event]:
+    def _recover_unknown_class(self, now: float) -> list[api.Event]:
         """What is owed under a class that is known now goes on; whose time is up has ended."""
         events: list[api.Event] = []
-        waiting, self._classless = self._classless, []
+        waiting, self._unknown_class_entries = self._unknown_class_entries, []
         for due, entry in waiting:
             if entry.message_class in self._classes:
-                events.append(self._received(entry))
+                events.append(self._received_event(entry))
             elif due > now:
-                self._classless.append((due, entry))
+                self._unknown_class_entries.append((due, entry))
             else:
-                self._class_gone(entry)
+                self._finish_unknown_class(entry)
         self._counters.add("recovered", len(events))
         return events
 
-    def _received(self, entry: Entry) -> api.MessageReceived:
+    def _received_event(self, entry: Entry) -> api.MessageReceived:
         """What the module is told of a message, be it new or one that outlived a process."""
-        ran = None if entry.ran_at is None else self._clock.to_monotonic(entry.ran_at)
+        may_have_run_at = None if entry.ran_at is None else self._clock.to_monotonic(entry.ran_at)
         zones = self._settings.zones
         return api.MessageReceived(
             entry.number,
@@ -227,7 +233,7 @@
             is_retry=entry.is_retry,
             from_dead_sender=entry.from_dead_sender,
             attempts=entry.attempts,
-            may_have_run_at=ran,
+            may_have_run_at=may_have_run_at,
             may_have_run_zone=zones.index(entry.ran_in) if entry.ran_in in zones else None,
         )
 
@@ -236,8 +242,8 @@
     def run(self) -> None:
         """One turn after another, the settings' resolution apart at the least."""
         while True:
-            items = [] if self._next else self._wait()
-            pause = self._turned + self._settings.clock_resolution - time.monotonic()
+            items = [] if self._next_events else self._wait_for_item()
+            pause = self._last_turn_at + self._settings.clock_resolution - time.monotonic()
             if pause > 0.0:
                 gevent.sleep(pause)
             while True:
@@ -247,41 +253,41 @@
                     break
             self._turn(items)
 
-    def receive_gossip(self, note: api.PeerMessage) -> bool:
+    def receive_gossip(self, message: api.PeerMessage) -> bool:
         """Take a note, unless the mailbox is half full: clients, calls and the list go first."""
-        if self.mailbox.qsize() >= self._most_notes:
+        if self.mailbox.qsize() >= self._gossip_limit:
             return False
-        self.mailbox.put(note)
+        self.mailbox.put(message)
         return True
 
-    def _wait(self) -> list[Item]:
-        wait = max(0.0, self._timers[0][0] - time.monotonic()) if self._timers else None
+    def _wait_for_item(self) -> list[MailboxItem]:
+        timeout = max(0.0, self._timers[0][0] - time.monotonic()) if self._timers else None
         if self._store.failing:
-            wait = min(FOLDER_RETRY, wait or FOLDER_RETRY)
+            timeout = min(STATE_DIRECTORY_RETRY_INTERVAL, timeout or STATE_DIRECTORY_RETRY_INTERVAL)
         try:
-            return [self.mailbox.get(timeout=wait)]
+            return [self.mailbox.get(timeout=timeout)]
         except Empty:
             return []
 
-    def _turn(self, items: Sequence[Item]) -> None:
+    def _turn(self, items: Sequence[MailboxItem]) -> None:
         now = time.monotonic()
-        self._turned = now
-        if (step := self._step_watch.detect()) is not None:
+        self._last_turn_at = now
+        if (step := self._step_detector.detect()) is not None:
             self._counters.add("wall_clock_steps")
             log.warning("wall_clock_stepped", by_s=round(step, 3))
         turn = _Turn()
         # First of all: a turn is under one set of settings from its begin to its end.
-        events = self._take_settings(items, now)
-        events += self._next
-        self._next = []
-        if self._classless:
-            events += self._recover_classless(now)
+        events = self._apply_newest_settings(items, now)
+        events += self._next_events
+        self._next_events = []
+        if self._unknown_class_entries:
+            events += self._recover_unknown_class(now)
         for item in items:
             match item:
                 case Submission():
-                    self._arrived(item, turn, events, now)
+                    self._handle_submission(item, turn, events, now)
                 case AttemptResult():
-                    self._ended(item, turn, events, now)
+                    self._handle_attempt_result(item, turn, events, now)
                 case api.EndpointsUpdated():
                     self._apply_update(item, now)
                     events.append(item)
@@ -291,67 +297,69 @@
             events.append(api.TimerFired(heappop(self._timers)[1]))
         if events:
             for action in self._sender.turn(now, events):
-                self._note(action, turn, now)
+                self._collect_action(action, turn, now)
         self._carry_out(turn, now)
         self._store.drop_expired(self._clock.to_record_time(now))
 
     # ---- events ----
 
-    def _take_settings(self, items: Sequence[Item], now: float) -> list[api.Event]:
+    def _apply_newest_settings(self, items: Sequence[MailboxItem], now: float) -> list[api.Event]:
         """Put the newest of the settings that have come in force here and in all other parts."""
         newest = None
         for item in items:
             if isinstance(item, NewSettings):
                 newest = item
-        if newest is None or self._settings_taken is None:
+        if newest is None or self._apply_settings is None:
             return []
-        self._adopt(newest.settings)
+        self._set_settings(newest.settings)
         events: list[api.Event] = [api.SettingsChanged(newest.settings)]
-        update = self._settings_taken(newest)
+        update = self._apply_settings(newest)
         if update is not None:
             self._apply_update(update, now)
             events.append(update)
         log.info("settings_in_force", revision=newest.revision)
         return events
 
-    def _arrived(self, arrival: Submission, turn: _Turn, events: list[api.Event], now: float) -> None:
+    def _handle_submission(
+        self, submission: Submission, turn: _Turn, events: list[api.Event], now: float
+    ) -> None:
         store = self._store
         self._counters.add("received")
-        if self._destinations and arrival.destination not in self._destinations:
+        if self._destinations and submission.destination not in self._destinations:
             self._counters.add("destination_unknown")
-            turn.answers.append((arrival, HTTPStatus.NOT_FOUND, None))
+            turn.answers.append((submission, HTTPStatus.NOT_FOUND, None))
             return
-        if (number := store.by_id.get(arrival.id)) is not None:
-            turn.again.append((arrival, number))
+        if (number := store.by_id.get(submission.id)) is not None:
+            turn.resubmissions.append((submission, number))
             return
         entry = Entry(
             store.next_number,
-            arrival.id,
-            arrival.key,
-            self._settings.classes[arrival.message_class].name,
-            arrival.tenant,
-            arrival.destination,
-            self._clock.to_record_time(arrival.due),
-            arrival.is_retry,
-            arrival.from_dead_sender,
-            arrival.body,
+            submission.id,
+            submission.key,
+            self._settings.classes[submission.message_class].name,
+            submission.tenant,
+            submission.destination,
+            self._clock.to_record_time(submission.due),
+            submission.is_retry,
+            submission.from_dead_sender,
+            submission.body,
         )
-        if (reason := self._no_room(entry, now)) is not None:
-            self._turn_away(arrival, reason, turn)
+        if (reason := self._reject_reason(entry, now)) is not None:
+            self._reject(submission, reason, turn)
             return
         store.next_number += 1
         store.add(entry)
-        turn.arrivals[entry.number] = arrival
+        turn.submissions[entry.number] = submission
         log.debug(
             "message_received",
             id=entry.id,
             message_class=entry.message_class,
             destination=entry.destination,
-            due_s=round(arrival.due - now, 3),
+            due_s=round(submission.due - now, 3),
         )
-        events.append(self._received(entry))
+        events.append(self._received_event(entry))
 
-    def _no_room(self, entry: Entry, now: float) -> "RejectReason | None":
+    def _reject_reason(self, entry: Entry, now: float) -> "RejectReason | None":
         """Why a message that came in is not even considered, if there is a reason."""
         if self.rejecting:
             return RejectReason.STOPPING
@@ -361,45 +369,47 @@
             return RejectReason.STATE_DIRECTORY_FULL
         return None
 
-    def _turn_away(self, arrival: Submission, reason: "RejectReason", turn: _Turn) -> None:
+    def _reject(self, submission: Submission, reason: "RejectReason", turn: _Turn) -> None:
         self._counters.add("turned_away")
         self._counters.add(f"turned_away_{reason.value}")
-        log.debug("message_turned_away", id=arrival.id, reason=reason.value)
-        turn.answers.append((arrival, HTTPStatus.SERVICE_UNAVAILABLE, self._come_again))
-
-    def _ended(self, ended: AttemptResult, turn: _Turn, events: list[api.Event], now: float) -> None:
-        _, sent = self._in_flight.pop(ended.number)
-        result = ended.result
-        entry = self._store.entries.get(ended.number)
-        owed = entry is not None and entry.pending
+        log.debug("message_turned_away", id=submission.id, reason=reason.value)
+        turn.answers.append((submission, HTTPStatus.SERVICE_UNAVAILABLE, self._rejection_retry_after))
+
+    def _handle_attempt_result(
+        self, attempt_result: AttemptResult, turn: _Turn, events: list[api.Event], now: float
+    ) -> None:
+        _, sent_at = self._in_flight.pop(attempt_result.number)
+        result = attempt_result.result
+        entry = self._store.entries.get(attempt_result.number)
+        pending = entry is not None and entry.pending
         if entry is not None:
             log.debug(
                 "attempt_ended",
                 id=entry.id,
-                endpoint=format_host_port(to_host_port(ended.address)),
-                attempt=ended.attempt,
+                endpoint=format_host_port(to_host_port(attempt_result.address)),
+                attempt=attempt_result.attempt,
                 outcome=result.outcome.name,
                 reached=result.reached.name,
                 error=result.error,
-                elapsed_s=round(now - sent, 3),
+                elapsed_s=round(now - sent_at, 3),
                 wait_s=result.retry_after,
                 report=result.report,
             )
-        if owed:
+        if pending:
             ran = result.outcome not in NOT_RUN_OUTCOMES
-            turn.records.append(self._store.end_attempt(ended.number, ended.attempt, ran))
+            turn.records.append(self._store.end_attempt(attempt_result.number, attempt_result.attempt, ran))
             if result.final:
-                name = "delivered" if result.outcome is api.Outcome.OK else "withdrawn"
-                turn.records.append(self._over(ended.number, name))
+                final_result = "delivered" if result.outcome is api.Outcome.OK else "withdrawn"
+                turn.records.append(self._finish(attempt_result.number, final_result))
         if result.retry_after:
-            self._hold(ended.address, now + result.retry_after)
+            self._withhold_calls(attempt_result.address, now + result.retry_after)
         events.append(
             api.AttemptEnded(
-                ended.number,
-                ended.address,
-                ended.attempt,
-                now - sent,
-                result.final or not owed,
+                attempt_result.number,
+                attempt_result.address,
+                attempt_result.attempt,
+                now - sent_at,
+                result.final or not pending,
                 result.outcome,
                 result.retry_after,
                 result.no_free_slot,
@@ -408,19 +418,24 @@
             )
         )
 
-    def _what_became(self, number: int) -> HTTPStatus:
+    def _resubmission_status(self, number: int) -> HTTPStatus:
         """The answer to the same handing in once more: it is not taken twice."""
         entry = self._store.entries.get(number)
         if entry is None or entry.result not in ("", "delivered"):
             return HTTPStatus.SERVICE_UNAVAILABLE
         return HTTPStatus.OK if entry.result else HTTPStatus.ACCEPTED
 
-    def _hold(self, address: api.Address, until: float) -> None:
+    def _withhold_calls(self, address: api.Address, until: float) -> None:
         """A wait was told: what is still connecting to the destination, or the route, must not leave."""
-        destination, apart = self._listed[address].destination, self._kind(address).separate_routes
-        for other in {place for place, _ in self._in_flight.values()}:
-            if other == address or (not apart and self._listed[other].destination == destination):
-                self._call(other, WithholdCalls(until))
+        destination, separate_routes = (
+            self._endpoints[address].destination,
+            self._destination_kind(address).separate_routes,
+        )
+        for other in {called for called, _ in self._in_flight.values()}:
+            if other == address or (
+                not separate_routes and self._endpoints[other].destination == destination
+            ):
+                self._send_command(other, WithholdCalls(until))
 
     def _apply_update(self, update: api.EndpointsUpdated, now: float) -> None:
         """Keep what a call needs to know of its endpoint, and for whom messages may be.
@@ -430,144 +445,144 @@
         """
         if update.scope is api.UpdateScope.FAILED:
             return
-        self._listed.update((endpoint.address, endpoint) for endpoint in update.endpoints)
-        here = {e.address for e in update.endpoints if e.state is not api.EndpointState.GONE}
-        gone = (
-            self._listed
+        self._endpoints.update((endpoint.address, endpoint) for endpoint in update.endpoints)
+        available = {e.address for e in update.endpoints if e.state is not api.EndpointState.GONE}
+        covered = (
+            self._endpoints
             if update.scope is not api.UpdateScope.DELTA
             else {e.address for e in update.endpoints}
         )
-        for address in set(gone) - here:
-            self._gone.setdefault(address, now)
-        for address in here & self._gone.keys():
-            del self._gone[address]
-        out = {address for address, _ in self._in_flight.values()}
-        forgotten = [
+        for address in set(covered) - available:
+            self._unlisted_since.setdefault(address, now)
+        for address in available & self._unlisted_since.keys():
+            del self._unlisted_since[address]
+        in_use = {address for address, _ in self._in_flight.values()}
+        expired = [
             address
-            for address, since in self._gone.items()
-            if since + self._remembered < now and address not in out
+            for address, since in self._unlisted_since.items()
+            if since + self._endpoint_retention < now and address not in in_use
         ]
-        for address in forgotten:
-            del self._gone[address], self._listed[address]
-        self._destinations = {endpoint.destination for endpoint in self._listed.values()}
+        for address in expired:
+            del self._unlisted_since[address], self._endpoints[address]
+        self._destinations = {endpoint.destination for endpoint in self._endpoints.values()}
 
-    def _kind(self, address: api.Address) -> api.DestinationKind:
-        return self._settings.kinds[self._listed[address].kind]
+    def _destination_kind(self, address: api.Address) -> api.DestinationKind:
+        return self._settings.kinds[self._endpoints[address].kind]
 
-    def _zone(self, address: api.Address) -> str:
+    def _zone_name(self, address: api.Address) -> str:
         """The name of an endpoint's zone, empty for one that the settings do not name."""
-        zone, names = self._listed[address].zone, self._settings.zones
+        zone, names = self._endpoints[address].zone, self._settings.zones
         return names[zone] if zone < len(names) else ""
 
     # ---- actions ----
 
-    def _over(self, number: int, result: str, wait_ms: int = 0) -> bytes:
+    def _finish(self, number: int, result: str, wait_ms: int = 0) -> bytes:
         self._counters.add(result)
         return self._store.finish(number, result, wait_ms)
 
-    def _note(self, action: api.Action, turn: _Turn, now: float) -> None:
+    def _collect_action(self, action: api.Action, turn: _Turn, now: float) -> None:
         match action:
-            case api.Refuse(number, wait):
-                self._final(number, "bounced", wait, turn)
+            case api.Refuse(number, retry_after):
+                self._finish_undelivered(number, "bounced", retry_after, turn)
             case api.Fail(number):
-                self._final(number, "dead", None, turn)
+                self._finish_undelivered(number, "dead", None, turn)
             case api.Send():
                 turn.sends.append(action)
             case api.SetTimer(delay, token):
                 heappush(self._timers, (now + delay, token))
             case _:
-                turn.others.append(action)
+                turn.other_actions.append(action)
 
-    def _final(self, number: int, result: str, wait: float | None, turn: _Turn) -> None:
+    def _finish_undelivered(self, number: int, result: str, retry_after: float | None, turn: _Turn) -> None:
         """An end that is not delivery: the answer itself where the client still waits, else a notice."""
-        arrival = turn.arrivals.pop(number, None)
+        submission = turn.submissions.pop(number, None)
         log.debug(
             "message_given_up",
             id=self._store.entries[number].id,
             result=result,
-            wait_s=wait,
-            taken_on=arrival is None,
+            wait_s=retry_after,
+            taken_on=submission is None,
         )
-        if arrival is not None:
+        if submission is not None:
             status = HTTPStatus.TOO_MANY_REQUESTS if result == "bounced" else HTTPStatus.INTERNAL_SERVER_ERROR
-            turn.answers.append((arrival, status, wait))
+            turn.answers.append((submission, status, retry_after))
             self._store.discard(number)
             self._counters.add("refused" if result == "bounced" else "failed")
         else:
-            turn.records.append(self._over(number, result, round((wait or 0.0) * 1000.0)))
-            turn.ends.append(self._store.entries[number])
+            turn.records.append(self._finish(number, result, round((retry_after or 0.0) * 1000.0)))
+            turn.finished.append(self._store.entries[number])
 
     def _carry_out(self, turn: _Turn, now: float) -> None:
-        recorded = self._clock.to_record_time(now)
+        record_time = self._clock.to_record_time(now)
         self._store.enqueue(turn.records)
-        if turn.arrivals and not self._store.record_accepted(turn.arrivals, recorded):
-            self._refuse_unrecorded(turn)
-        written = self._store.flush(recorded)
-        self._tell_ends(turn.ends, written, now)
-        gone: set[int] = set()
-        for number, arrival in turn.arrivals.items():
-            if arrival.client.answer(HTTPStatus.ACCEPTED):
+        if turn.submissions and not self._store.record_accepted(turn.submissions, record_time):
+            self._reject_unrecorded(turn)
+        written = self._store.flush(record_time)
+        self._post_notices(turn.finished, written, now)
+        withdrawn: set[int] = set()
+        for number, submission in turn.submissions.items():
+            if submission.client.answer(HTTPStatus.ACCEPTED):
                 self._counters.add("taken")
             else:
-                gone.add(number)
-        if gone:
-            self._store.write([self._over(number, "withdrawn") for number in gone], recorded)
-            self._next.extend(api.MessageWithdrawn(number) for number in gone)
-        for arrival, status, wait in turn.answers:
-            arrival.client.answer(status, wait)
-        for arrival, number in turn.again:
-            arrival.client.answer(self._what_became(number))
-        for action in turn.others:
-            self._do(action)
-        self._send(turn.sends, now)
-
-    def _refuse_unrecorded(self, turn: _Turn) -> None:
+                withdrawn.add(number)
+        if withdrawn:
+            self._store.write([self._finish(number, "withdrawn") for number in withdrawn], record_time)
+            self._next_events.extend(api.MessageWithdrawn(number) for number in withdrawn)
+        for submission, status, retry_after in turn.answers:
+            submission.client.answer(status, retry_after)
+        for submission, number in turn.resubmissions:
+            submission.client.answer(self._resubmission_status(number))
+        for action in turn.other_actions:
+            self._execute(action)
+        self._send_calls(turn.sends, now)
+
+    def _reject_unrecorded(self, turn: _Turn) -> None:
         """Messages that could not be put on record were not taken on, whatever was decided for them."""
-        for number, arrival in turn.arrivals.items():
-            self._turn_away(arrival, RejectReason.STATE_DIRECTORY_FAILING, turn)
+        for number, submission in turn.submissions.items():
+            self._reject(submission, RejectReason.STATE_DIRECTORY_FAILING, turn)
             self._store.discard(number)
-            self._next.append(api.MessageWithdrawn(number))
-        turn.arrivals.clear()
+            self._next_events.append(api.MessageWithdrawn(number))
+        turn.submissions.clear()
 
-    def _tell_ends(self, ends: list[Entry], written: bool, now: float) -> None:
+    def _post_notices(self, finished: list[Entry], written: bool, now: float) -> None:
         """Post notices of ends that are on record.
 
         Told before, an end could be undone by a restart, which would find the message owed and send it. Once
         its time is up no life sends it any more, and its notice is due whatever the folder does.
         """
-        self._untold += ends
-        if not self._untold:
+        self._deferred_notices += finished
+        if not self._deferred_notices:
             return
-        untold, self._untold = self._untold, []
-        for entry in untold:
+        waiting, self._deferred_notices = self._deferred_notices, []
+        for entry in waiting:
             if written or self._clock.to_monotonic(entry.due) <= now:
-                self._notice(entry)
+                self._post_notice(entry)
             else:
-                self._untold.append(entry)
+                self._deferred_notices.append(entry)
 
-    def _do(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.Cancel(number, attempt):
                 if number in self._in_flight:
-                    self._call(self._in_flight[number][0], CancelAttempt(number, attempt))
+                    self._send_command(self._in_flight[number][0], CancelAttempt(number, attempt))
             case api.CloseIdle(address):
-                self._call(address, CloseIdle())
+                self._send_command(address, CloseIdle())
             case api.Subscribe() | api.FetchEndpoints():
-                self._ask(action)
-            case api.TellPeer(peer, data) if self._tell is not None:
-                self._tell(peer, data)
+                self._request_endpoints(action)
+            case api.TellPeer(peer, data) if self._send_gossip is not None:
+                self._send_gossip(peer, data)
             case api.Log(text):
                 log.info("module", text=text)
             case _:
                 log.error("action_unknown", action=repr(action))
 
-    def _send(self, sends: list[api.Send], now: float) -> None:
+    def _send_calls(self, sends: list[api.Send], now: float) -> None:
         """What goes to one endpoint in one turn travels together, as far as its kind allows."""
         by_endpoint: dict[api.Address, list[OutgoingMessage]] = {}
         for send in sends:
             entry = self._store.entries.get(send.message)
             if entry is None or not entry.pending:  # withdrawn in this very turn
-                self._next.append(
+                self._next_events.append(
                     api.AttemptEnded(send.message, send.endpoint, 0, 0.0, True, api.Outcome.NOT_SENT)
                 )
                 continue
@@ -581,7 +596,7 @@
                 attempt=entry.attempts,
             )
             due = self._clock.to_monotonic(entry.due)  # as accepted, whatever the wall clock did since
-            give_up = min(due, send.give_up_at or due)
+            give_up_at = min(due, send.give_up_at or due)
             by_endpoint.setdefault(send.endpoint, []).append(
                 OutgoingMessage(
                     entry.number,
@@ -589,15 +604,17 @@
                     entry.id,
                     entry.key,
                     entry.body,
-                    give_up,
+                    give_up_at,
                     due,
                     send.write_deadline,
                 )
             )
         for address, messages in by_endpoint.items():
-            most = self._kind(address).max_batch
-            for start in range(0, len(messages), most):
+            max_batch = self._destination_kind(address).max_batch
+            for start in range(0, len(messages), max_batch):
                 call = Call(
-                    messages[start : start + most], self._clock.to_record_time(now), self._zone(address)
+                    messages[start : start + max_batch],
+                    self._clock.to_record_time(now),
+                    self._zone_name(address),
                 )
-                self._call(address, call)
+                self._send_command(address, call)
--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -28,11 +28,11 @@
         """`most_calls` is what the limits leave descriptors for; raises `SettingsError` for a bad file."""
         self._base = base
         self._peers = peers
-        own = disable_gossip_without_peers(read(Reader(base)), peers)
+        file_settings = disable_gossip_without_peers(read(Reader(base)), peers)
         # What the file itself asks for is the operators' own choice, as without these settings.
-        self._most_calls = max(own.max_calls, max_calls_limit)
-        self._own = self._read(base)
-        self.in_force = _accepted(self._own, self._own, {})
+        self._max_calls_limit = max(file_settings.max_calls, max_calls_limit)
+        self._file_settings = self._parse(base)
+        self.in_force = _accepted_settings(self._file_settings, self._file_settings, {})
 
     def restore(
         self, items: Mapping[str, Any], retired: Mapping[str, Any], pending_classes: Collection[str]
@@ -43,20 +43,22 @@
         longer fit the node's file are left; what messages are owed under is still kept.
         """
         try:
-            self.in_force = self._restored(items, retired, pending_classes)
+            self.in_force = self._restored_settings(items, retired, pending_classes)
         except SettingsError as error:
             log.error("saved_settings_refused", error=str(error))
             lanes = {path: value for path, value in items.items() if path.startswith(f"{LANES}/")}
-            self.in_force = self._restored({}, self._usable({**lanes, **retired}), pending_classes)
+            self.in_force = self._restored_settings(
+                {}, self._usable_definitions({**lanes, **retired}), pending_classes
+            )
 
     def check(self, items: Mapping[str, Any]) -> AcceptedSettings:
         """What the node would run by under these items; raises `SettingsError` if it cannot."""
-        with _only_settings_errors():
-            proposed = self._read(compose(self._base, items))
+        with _only_raising_settings_errors():
+            proposed = self._parse(compose(self._base, items))
             merged = merge(self.in_force.settings, proposed)
-            gone = definitions_of_gone(merged, proposed)
-            check_size(gone, "what went")  # it has to be saved; a restart drops what nothing needs
-            return _accepted(merged, proposed, gone)
+            retired = definitions_of_gone(merged, proposed)
+            check_size(retired, "what went")  # it has to be saved; a restart drops what nothing needs
+            return _accepted_settings(merged, proposed, retired)
 
     def check_without_raising(self, items: Mapping[str, Any]) -> AcceptedSettings | SettingsError:
         """As `check`, with the error as a value: gevent logs one that leaves a thread as a fault."""
@@ -65,32 +67,33 @@
         except SettingsError as error:
             return error
 
-    def _read(self, document: Mapping[str, Any]) -> Settings:
+    def _parse(self, document: Mapping[str, Any]) -> Settings:
         settings = disable_gossip_without_peers(read(Reader(document)), self._peers)
         check_values(settings)
-        if settings.max_calls > self._most_calls:
+        if settings.max_calls > self._max_calls_limit:
             raise SettingsError(
-                f"extra.maxCalls: limits.sockets allows {self._most_calls} at most, not {settings.max_calls}"
+                f"extra.maxCalls: limits.sockets allows {self._max_calls_limit} at most, "
+                f"not {settings.max_calls}"
             )
         return settings
 
-    def _restored(
-        self, items: Mapping[str, Any], retired: Mapping[str, Any], owed: Collection[str]
+    def _restored_settings(
+        self, items: Mapping[str, Any], retired: Mapping[str, Any], pending_classes: Collection[str]
     ) -> AcceptedSettings:
-        with _only_settings_errors():
-            proposed = self._read(compose(self._base, items))
-            check_restart(self._own, proposed)
-            needed = {path: value for path, value in retired.items() if _is_needed(path, owed)}
-            settings = self._read(compose(self._base, items, needed))
-            return _accepted(settings, proposed, definitions_of_gone(settings, proposed))
-
-    def _usable(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
+        with _only_raising_settings_errors():
+            proposed = self._parse(compose(self._base, items))
+            check_restart(self._file_settings, proposed)
+            needed = {path: value for path, value in retired.items() if _is_needed(path, pending_classes)}
+            settings = self._parse(compose(self._base, items, needed))
+            return _accepted_settings(settings, proposed, definitions_of_gone(settings, proposed))
+
+    def _usable_definitions(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
         """Those that may stand beside the node's own file."""
         usable = {}
         for path, value in definitions.items():
             try:
-                with _only_settings_errors():
-                    self._read(compose(self._base, {}, {path: value}))
+                with _only_raising_settings_errors():
+                    self._parse(compose(self._base, {}, {path: value}))
             except SettingsError as error:
                 log.error("saved_definition_refused", error=str(error))
             else:
@@ -99,7 +102,7 @@
 
 
 @contextmanager
-def _only_settings_errors() -> Iterator[None]:
+def _only_raising_settings_errors() -> Iterator[None]:
     """Whatever is wrong with a document, it ends no node."""
     try:
         yield
@@ -109,16 +112,18 @@
         raise SettingsError(f"the document: {error!r}") from error
 
 
-def _accepted(settings: Settings, offered: Settings, retired: Mapping[str, Any]) -> AcceptedSettings:
+def _accepted_settings(
+    settings: Settings, proposed: Settings, retired: Mapping[str, Any]
+) -> AcceptedSettings:
     return AcceptedSettings(
         settings,
-        frozenset(kind.name for kind in offered.classes),
-        frozenset(tenant.name for tenant in offered.tenants),
+        frozenset(message_class.name for message_class in proposed.classes),
+        frozenset(tenant.name for tenant in proposed.tenants),
         retired,
     )
 
 
-def _is_needed(path: str, owed: Collection[str]) -> bool:
+def _is_needed(path: str, pending_classes: Collection[str]) -> bool:
     """Whether a definition that went is needed: a class by its messages, a kind by any that may go there."""
     group, _, name = path.partition("/")
-    return name in owed if group == LANES else group == KINDS and bool(owed)
+    return name in pending_classes if group == LANES else group == KINDS and bool(pending_classes)
--- a/irisstack/node/record_clock.py
+++ b/irisstack/node/record_clock.py
@@ -41,22 +41,22 @@
     def to_record_time(self, monotonic: float) -> float:
         return monotonic + self.anchor.offset
 
-    def to_monotonic(self, recorded: float) -> float:
-        return recorded - self.anchor.offset
+    def to_monotonic(self, record_time: float) -> float:
+        return record_time - self.anchor.offset
 
     def anchor_record(self) -> dict[str, object]:
         """The anchor as a note for the folder."""
         return {"t": "clock", **asdict(self.anchor)}
 
 
-def resume_clock(recorded: Anchor | None) -> RecordClock:
+def resume_clock(anchor: Anchor | None) -> RecordClock:
     """The clock of the lives before, unless the machine has booted since; else one that begins now.
 
     Where the system does not tell its boots, a monotonic clock that stands before the anchor shows one.
     """
     boot, monotonic = _boot_id(), time.monotonic()
-    if recorded is not None and recorded.boot == boot and recorded.since <= monotonic:
-        return RecordClock(recorded)
+    if anchor is not None and anchor.boot == boot and anchor.since <= monotonic:
+        return RecordClock(anchor)
     return RecordClock(Anchor(boot, wall_clock() - monotonic, monotonic))
 
 
--- a/irisstack/node/results.py
+++ b/irisstack/node/results.py
@@ -61,19 +61,19 @@
 """Outcome and finality by the word for one message in the answer to a shared call."""
 
 
-def unanswered_result(reached: Reached, ending: EndReason) -> Result:
+def unanswered_result(reached: Reached, reason: EndReason) -> Result:
     """The result of an attempt that ended without an answer."""
-    if ending is EndReason.WITHHELD:
+    if reason is EndReason.WITHHELD:
         return Result(Outcome.NOT_SENT, reached)
     if reached < Reached.WRITTEN:
         return Result(Outcome.CONNECT_FAILED, reached)
-    return Result(OUTCOME_WITHOUT_ANSWER[ending], reached)
+    return Result(OUTCOME_WITHOUT_ANSWER[reason], reached)
 
 
 def error_name(error: Exception) -> str:
     """The system's name of an error, or its type where it has none."""
-    number = error.errno if isinstance(error, OSError) else None
-    return type(error).__name__ if number is None else errno.errorcode.get(number, str(number))
+    code = error.errno if isinstance(error, OSError) else None
+    return type(error).__name__ if code is None else errno.errorcode.get(code, str(code))
 
 
 def _positive_number(text: str | None) -> float | None:
@@ -85,10 +85,10 @@
     return value if 0.0 < value < float("inf") else None
 
 
-def _report(message: Message, fields: Sequence[str]) -> tuple[float, ...]:
+def _load_report(message: Message, report_fields: Sequence[str]) -> tuple[float, ...]:
     """The load report, in the order of the settings' fields; empty if there is none or it cannot be read."""
     header = message.headers.get("x-server-load")
-    if header is None or not fields:
+    if header is None or not report_fields:
         return ()
     try:
         pairs = (item.split("=") for item in header.split(","))
@@ -97,43 +97,43 @@
         return ()
     if not all(math.isfinite(value) for value in values.values()):
         return ()
-    return tuple(values.get(name, 0.0) for name in fields)
+    return tuple(values.get(name, 0.0) for name in report_fields)
 
 
-def answer_result(message: Message, fields: Sequence[str]) -> Result:
+def answer_result(message: Message, report_fields: Sequence[str]) -> Result:
     """The result that an answer gives to every message of its call."""
-    wait = _positive_number(message.headers.get("retry-after"))
-    report = _report(message, fields)
-    busy = message.headers.get("x-line-busy") == "1"
+    retry_after = _positive_number(message.headers.get("retry-after"))
+    report = _load_report(message, report_fields)
+    no_free_slot = message.headers.get("x-line-busy") == "1"
     match message.status:
         case 200:
-            outcome, over = Outcome.OK, True
+            outcome, final = Outcome.OK, True
         case 429:
-            outcome, over = Outcome.FULL, False
+            outcome, final = Outcome.FULL, False
         case 503:
-            outcome, over = (Outcome.NOT_SENT if busy else Outcome.FULL), False
+            outcome, final = (Outcome.NOT_SENT if no_free_slot else Outcome.FULL), False
         case 504:
-            outcome, over = Outcome.NOT_SENT, False
+            outcome, final = Outcome.NOT_SENT, False
         case 410:
-            outcome, over = Outcome.NOT_SENT, True
+            outcome, final = Outcome.NOT_SENT, True
         case _:
-            outcome, over = Outcome.ERROR, False
-    return Result(outcome, Reached.ANSWERED, over, wait, busy, report, tuple(fields))
+            outcome, final = Outcome.ERROR, False
+    return Result(outcome, Reached.ANSWERED, final, retry_after, no_free_slot, report, tuple(report_fields))
 
 
-def batch_results(message: Message, ids: Sequence[str], fields: Sequence[str]) -> dict[str, Result]:
+def batch_results(message: Message, ids: Sequence[str], report_fields: Sequence[str]) -> dict[str, Result]:
     """The result of each message of a shared call, by id; one that the answer does not name may have run."""
-    alike = answer_result(message, fields)
+    call_result = answer_result(message, report_fields)
     if message.status in (400, 413):
         return dict.fromkeys(ids, Result(Outcome.NOT_SENT, Reached.ANSWERED))
     if message.status != 200:
-        return dict.fromkeys(ids, alike)
+        return dict.fromkeys(ids, call_result)
     words: dict[str, str] = {}
     for line in bytes(message.body).decode("latin-1").splitlines():
         id_, _, word = line.strip().partition(" ")
         words[id_] = word
     results = {}
     for id_ in ids:
-        outcome, over = OUTCOME_BY_WORD.get(words.get(id_, ""), (Outcome.RESET, False))
-        results[id_] = replace(alike, outcome=outcome, final=over, no_free_slot=False)
+        outcome, final = OUTCOME_BY_WORD.get(words.get(id_, ""), (Outcome.RESET, False))
+        results[id_] = replace(call_result, outcome=outcome, final=final, no_free_slot=False)
     return results
--- a/irisstack/node/retry.py
+++ b/irisstack/node/retry.py
@@ -21,12 +21,12 @@
     Raises its error if that does not pass by itself, or if the time would be over before the next attempt.
     The pauses between attempts double, up to the longest.
     """
-    end, pause = time.monotonic() + time_limit, first_pause
+    deadline, pause = time.monotonic() + time_limit, first_pause
     while True:
         try:
-            return operation(end - time.monotonic())
+            return operation(deadline - time.monotonic())
         except OSError as error:
-            if not is_transient(error) or time.monotonic() + pause >= end:
+            if not is_transient(error) or time.monotonic() + pause >= deadline:
                 raise
         gevent.sleep(pause)
         pause = min(2.0 * pause, max_pause)
--- a/irisstack/node/segments.py
+++ b/irisstack/node/segments.py
@@ -19,9 +19,9 @@
 class SegmentLog:
     """The segments of a folder; all methods that write raise `OSError`."""
 
-    def __init__(self, folder: Path) -> None:
-        self._folder = folder
-        self._file = -1  # of the newest segment, once it was opened
+    def __init__(self, directory: Path) -> None:
+        self._directory = directory
+        self._descriptor = -1  # of the newest segment, once it was opened
         self.sizes: dict[int, int] = {}
         self.newest = 0
         self.header = b""
@@ -29,13 +29,13 @@
 
     def read(self) -> Iterator[tuple[int, records.Fields, bytes]]:
         """All records, each with its segment's number; called once, before anything is written."""
-        for path in sorted(self._folder.glob("[0-9]" * 10 + ".log")):
+        for path in sorted(self._directory.glob("[0-9]" * 10 + ".log")):
             segment = int(path.stem)
             data = path.read_bytes()
             self.sizes[segment] = len(data)
             self.newest = max(self.newest, segment)
-            for note, body in records.decode(data):
-                yield segment, note, body
+            for fields, body in records.decode(data):
+                yield segment, fields, body
 
     @property
     def older_segments(self) -> list[int]:
@@ -56,27 +56,27 @@
         """Begin another segment; if that fails, the one before stays."""
         number = self.newest + 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
-        file = os.open(self._path(number), flags, 0o600)
+        descriptor = os.open(self._path(number), flags, 0o600)
         try:
-            _write_all(file, self.header)
+            _write_all(descriptor, self.header)
         except OSError:
-            os.close(file)
+            os.close(descriptor)
             with suppress(OSError):
                 self._path(number).unlink()
             raise
         self.close()
-        self._file, self.newest = file, number
+        self._descriptor, self.newest = descriptor, number
         self.sizes[number] = len(self.header)
 
     def append(self, data: bytes) -> None:
         """Append to the newest segment, or to another where that one cannot be appended to."""
-        if self._file < 0:
+        if self._descriptor < 0:
             self.open_next()
         size = self.sizes[self.newest]
         try:
-            _write_all(self._file, data)
+            _write_all(self._descriptor, data)
         except OSError:
-            self._cut(size)
+            self._truncate(size)
             raise
         self.sizes[self.newest] = size + len(data)
 
@@ -88,26 +88,26 @@
 
     def close(self) -> None:
         """Let go of the newest segment; an append begins another."""
-        if self._file >= 0:
+        if self._descriptor >= 0:
             with suppress(OSError):
-                os.close(self._file)
-            self._file = -1
+                os.close(self._descriptor)
+            self._descriptor = -1
 
-    def _cut(self, size: int) -> None:
+    def _truncate(self, size: int) -> None:
         try:
-            os.ftruncate(self._file, size)
+            os.ftruncate(self._descriptor, size)
         except OSError:
             with suppress(OSError):
-                self.sizes[self.newest] = os.fstat(self._file).st_size
+                self.sizes[self.newest] = os.fstat(self._descriptor).st_size
             self.close()
 
     def _path(self, segment: int) -> Path:
-        return self._folder / f"{segment:010d}.log"
+        return self._directory / f"{segment:010d}.log"
 
 
-def _write_all(file: int, data: bytes) -> None:
+def _write_all(descriptor: int, data: bytes) -> None:
     while data:
-        written = os.write(file, data)
+        written = os.write(descriptor, data)
         if not written:
             raise OSError(EIO, "nothing was written")
         data = data[written:]
--- a/irisstack/node/store.py
+++ b/irisstack/node/store.py
@@ -19,15 +19,15 @@
 from irisstack.node import record_clock, records
 from irisstack.node.segments import SegmentLog
 
-SEGMENTS = 12
+SEGMENT_COUNT = 12
 """The folder's room is shared out among so many segments."""
-FREE = 3
+FREE_SEGMENTS = 3
 """Segments that are free again once room has been made: one to fill, one to write anew, one in hand."""
-SPARE = 5
+RESERVED_SEGMENTS = 5
 """Segments that owed messages may not fill, so that the free ones can always be had."""
-NOTE_ROOM = 512
+RECORD_OVERHEAD_BYTES = 512
 """Room counted for a message's notes beside its body."""
-FIRST_RETRY, LONGEST_RETRY = 0.05, 0.4
+FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE = 0.05, 0.4
 """Seconds from a write that failed to the next one; they double with each failure."""
 
 log = structlog.get_logger()
@@ -68,7 +68,7 @@
 
     @property
     def reserved_bytes(self) -> int:
-        return len(self.body) + len(self.id) + len(self.key) + NOTE_ROOM
+        return len(self.body) + len(self.id) + len(self.key) + RECORD_OVERHEAD_BYTES
 
 
 STORED_FIELDS = tuple(field.name for field in fields(Entry) if field.name not in ("body", "segment"))
@@ -79,94 +79,94 @@
 
     def __init__(self, directory: Path, disk_bytes: int, now: float | None = None) -> None:
         """`now` is the time on the clock of the records; by default what that clock says."""
-        self._disk = disk_bytes
-        self._segment_size = disk_bytes // SEGMENTS
+        self._disk_bytes = disk_bytes
+        self._segment_size = disk_bytes // SEGMENT_COUNT
         self._log = SegmentLog(directory)
         self._unwritten: list[bytes] = []  # records of what has happened, oldest first
         self._failed_since: float | None = None  # since when the folder cannot be written
         self._retry_at = 0.0
-        self._retry_pause = FIRST_RETRY
-        self._room = 0
-        self._ended: list[tuple[float, int]] = []
+        self._retry_pause = FIRST_RETRY_PAUSE
+        self._reserved_bytes = 0
+        self._finished: list[tuple[float, int]] = []
         self.entries: dict[int, Entry] = {}
         self.by_id: dict[str, int] = {}
         self.next_number = 1
         self._anchor: record_clock.Anchor | None = None
-        for segment, note, body in self._log.read():
-            self._replay(note, body, segment)
+        for segment, record, body in self._log.read():
+            self._replay(record, body, segment)
         self.clock = record_clock.resume_clock(self._anchor)
         self._log.header = records.encode(self.clock.anchor_record())
         if now is None:
             now = self.clock.now()
         # The process ended with these calls out: they may have run. That goes on record before anything else:
         # a later attempt, in this life or the next, must not stand for the first.
-        out = [entry for entry in self.entries.values() if entry.out_at is not None]
-        ends = [self.end_attempt(entry.number, entry.attempts - 1, ran=True) for entry in out]
-        self._begin(now)
-        self.write(ends, now)
+        in_flight = [entry for entry in self.entries.values() if entry.out_at is not None]
+        end_records = [self.end_attempt(entry.number, entry.attempts - 1, ran=True) for entry in in_flight]
+        self._open_first_segment(now)
+        self.write(end_records, now)
 
-    def _begin(self, now: float) -> None:
+    def _open_first_segment(self, now: float) -> None:
         """This life's first segment."""
         try:
             self._log.open_next()
-            self._make_room(now)
+            self._free_segments(now)
         except OSError as error:
-            self._failed(error)
+            self._handle_failure(error)
 
     # ---- reading ----
 
-    def _replay(self, note: records.Fields, body: bytes, segment: int) -> None:
-        match note.pop("t"):
+    def _replay(self, record: records.Fields, body: bytes, segment: int) -> None:
+        match record.pop("t"):
             case "clock":
-                self._anchor = record_clock.Anchor(**note)
+                self._anchor = record_clock.Anchor(**record)
             case "taken":
-                entry = Entry(**note, body=body, segment=segment)
-                known = self.entries.get(entry.number)
-                if known is not None:
-                    self._room -= known.reserved_bytes
+                entry = Entry(**record, body=body, segment=segment)
+                previous = self.entries.get(entry.number)
+                if previous is not None:
+                    self._reserved_bytes -= previous.reserved_bytes
                 self.entries[entry.number] = entry
                 self.by_id[entry.id] = entry.number
-                self._room += entry.reserved_bytes
+                self._reserved_bytes += entry.reserved_bytes
                 self.next_number = max(self.next_number, entry.number + 1)
                 if not entry.pending:
-                    heappush(self._ended, (entry.due, entry.number))
+                    heappush(self._finished, (entry.due, entry.number))
             case "out":
-                for number, attempt in note["n"]:
-                    if out := self.entries.get(number):
-                        self._out(out, attempt, note["at"], note.get("in", ""))
+                for number, attempt in record["n"]:
+                    if sent := self.entries.get(number):
+                        self._apply_send(sent, attempt, record["at"], record.get("in", ""))
             case "end":
-                if ended := self.entries.get(note["n"]):
-                    self._end(ended, note["a"], note["ran"])
+                if ended := self.entries.get(record["n"]):
+                    self._apply_attempt_end(ended, record["a"], record["ran"])
             case "over":
-                if over := self.entries.get(note["n"]):
-                    self._over(over, note["result"], note["wait_ms"])
+                if finished := self.entries.get(record["n"]):
+                    self._apply_finish(finished, record["result"], record["wait_ms"])
             case "told":
-                for number in note["n"]:
-                    if told := self.entries.get(number):
-                        self._told(told)
+                for number in record["n"]:
+                    if notified := self.entries.get(number):
+                        self._apply_notified(notified)
 
     # ---- what happens to an entry, first and when read again ----
 
     @staticmethod
-    def _out(entry: Entry, attempt: int, at: float, zone: str) -> None:
-        entry.out_at, entry.out_in, entry.attempts = at, zone, attempt + 1
+    def _apply_send(entry: Entry, attempt: int, sent_at: float, zone: str) -> None:
+        entry.out_at, entry.out_in, entry.attempts = sent_at, zone, attempt + 1
 
     @staticmethod
-    def _end(entry: Entry, attempt: int, ran: bool) -> None:
+    def _apply_attempt_end(entry: Entry, attempt: int, ran: bool) -> None:
         entry.attempts = max(entry.attempts, attempt + 1)
         if ran and entry.ran_at is None:
             entry.ran_at, entry.ran_in = entry.out_at, entry.out_in
         entry.out_at, entry.out_in = None, ""
 
-    def _over(self, entry: Entry, result: str, wait_ms: int) -> None:
-        self._room -= entry.reserved_bytes
+    def _apply_finish(self, entry: Entry, result: str, wait_ms: int) -> None:
+        self._reserved_bytes -= entry.reserved_bytes
         entry.result, entry.wait_ms, entry.body = result, wait_ms, b""
-        self._room += entry.reserved_bytes
-        heappush(self._ended, (entry.due, entry.number))
+        self._reserved_bytes += entry.reserved_bytes
+        heappush(self._finished, (entry.due, entry.number))
 
-    def _told(self, entry: Entry) -> None:
+    def _apply_notified(self, entry: Entry) -> None:
         entry.told = True
-        heappush(self._ended, (entry.due, entry.number))  # the first time, its notice was still owed
+        heappush(self._finished, (entry.due, entry.number))  # the first time, its notice was still owed
 
     # ---- what others note ----
 
@@ -175,46 +175,48 @@
 
         Those that are over are kept, so as to know them again, as long as nobody needs their room.
         """
-        most = self._disk - SPARE * self._segment_size - entry.reserved_bytes
-        if self._room > most:
+        limit = self._disk_bytes - RESERVED_SEGMENTS * self._segment_size - entry.reserved_bytes
+        if self._reserved_bytes > limit:
             self.drop_expired(now)
-        while self._room > most and self._ended:
-            self._drop_first()
-        return self._room <= most
+        while self._reserved_bytes > limit and self._finished:
+            self._drop_earliest()
+        return self._reserved_bytes <= limit
 
     def add(self, entry: Entry) -> None:
         """A message comes in; it is on record once what `taken` returns is written."""
         self.entries[entry.number] = entry
         self.by_id[entry.id] = entry.number
-        self._room += entry.reserved_bytes
+        self._reserved_bytes += entry.reserved_bytes
 
     def accepted_record(self, number: int) -> bytes:
         """The record of a message that was taken on, as it stands now."""
         entry = self.entries[number]
         entry.segment = self._log.newest
-        return self._taken(entry)
+        return self._encode_entry(entry)
 
     def discard(self, number: int) -> None:
         """A message that was not taken on after all leaves no trace."""
-        self._forget(self.entries[number])
+        self._remove(self.entries[number])
 
     def end_attempt(self, number: int, attempt: int, ran: bool) -> bytes:
         """An attempt has ended; returns the record to write."""
-        self._end(self.entries[number], attempt, ran)
+        self._apply_attempt_end(self.entries[number], attempt, ran)
         return records.encode({"t": "end", "n": number, "a": attempt, "ran": ran})
 
     def finish(self, number: int, result: str, wait_ms: int = 0) -> bytes:
         """A message is over; returns the record to write."""
-        self._over(self.entries[number], result, wait_ms)
+        self._apply_finish(self.entries[number], result, wait_ms)
         return records.encode({"t": "over", "n": number, "result": result, "wait_ms": wait_ms})
 
-    def record_send(self, attempts: Iterable[tuple[int, int]], at: float, zone: str = "") -> bool:
+    def record_send(self, attempts: Iterable[tuple[int, int]], sent_at: float, zone: str = "") -> bool:
         """A call is about to leave for a zone with these messages; returns whether that is on record."""
-        numbers = [(number, attempt) for number, attempt in attempts if number in self.entries]
-        if not self._append_all([records.encode({"t": "out", "n": numbers, "at": at, "in": zone})], at):
+        known = [(number, attempt) for number, attempt in attempts if number in self.entries]
+        if not self._append_all(
+            [records.encode({"t": "out", "n": known, "at": sent_at, "in": zone})], sent_at
+        ):
             return False
-        for number, attempt in numbers:
-            self._out(self.entries[number], attempt, at, zone)
+        for number, attempt in known:
+            self._apply_send(self.entries[number], attempt, sent_at, zone)
         return True
 
     def record_accepted(self, numbers: Collection[int], now: float) -> bool:
@@ -234,19 +236,19 @@
         """The platform has taken these notices."""
         known = [number for number in numbers if number in self.entries]
         for number in known:
-            self._told(self.entries[number])
+            self._apply_notified(self.entries[number])
         self.write([records.encode({"t": "told", "n": known})], now)
 
     def drop_expired(self, now: float) -> None:
         """Forget messages that are over, once their time is up and their notice was taken."""
-        while self._ended and self._ended[0][0] < now:
-            self._drop_first()
+        while self._finished and self._finished[0][0] < now:
+            self._drop_earliest()
 
-    def _drop_first(self) -> None:
+    def _drop_earliest(self) -> None:
         """Forget the message whose time is up first; one whose notice is owed comes back when it is told."""
-        entry = self.entries.get(heappop(self._ended)[1])
+        entry = self.entries.get(heappop(self._finished)[1])
         if entry is not None and not entry.notice_pending:
-            self._forget(entry)
+            self._remove(entry)
 
     def write(self, encoded: list[bytes], now: float) -> bool:
         """Append records of what has happened; returns whether they are written, else they will be."""
@@ -277,7 +279,7 @@
     # ---- segments ----
 
     @staticmethod
-    def _taken(entry: Entry) -> bytes:
+    def _encode_entry(entry: Entry) -> bytes:
         return records.encode(
             {"t": "taken", **{name: getattr(entry, name) for name in STORED_FIELDS}}, entry.body
         )
@@ -289,61 +291,61 @@
         """
         if not self.may_write:
             return False
-        pending = [*self._unwritten, *encoded]
+        to_write = [*self._unwritten, *encoded]
         try:
             # With nothing to write, one that is known already shows whether the folder can be written again.
-            self._append_some(pending or ([self._log.header] if self.failing else []), now)
+            self._append_in_segments(to_write or ([self._log.header] if self.failing else []), now)
         except OSError as error:
-            self._failed(error)
+            self._handle_failure(error)
             return False
         self._unwritten = []
-        self._recovered()
+        self._handle_recovery()
         return True
 
-    def _append_some(self, encoded: list[bytes], now: float) -> None:
+    def _append_in_segments(self, encoded: list[bytes], now: float) -> None:
         """Append records with one write for each segment that they fall into."""
         batch: list[bytes] = []
-        left = self._segment_size - self._log.newest_size
+        free_bytes = self._segment_size - self._log.newest_size
         for record in encoded:
-            if len(record) > left:
+            if len(record) > free_bytes:
                 self._log.append(b"".join(batch))
                 batch.clear()
                 self._log.open_next()
-                self._make_room(now)
-                left = self._segment_size - self._log.newest_size
+                self._free_segments(now)
+                free_bytes = self._segment_size - self._log.newest_size
             batch.append(record)
-            left -= len(record)
+            free_bytes -= len(record)
         self._log.append(b"".join(batch))
 
-    def _failed(self, error: OSError) -> None:
+    def _handle_failure(self, error: OSError) -> None:
         now = time.monotonic()
         if self._failed_since is None:
-            self._failed_since, self._retry_pause = now, FIRST_RETRY
+            self._failed_since, self._retry_pause = now, FIRST_RETRY_PAUSE
             log.error("folder_not_written", error=str(error), unwritten=len(self._unwritten))
         self._retry_at = now + self._retry_pause
-        self._retry_pause = min(2.0 * self._retry_pause, LONGEST_RETRY)
+        self._retry_pause = min(2.0 * self._retry_pause, MAX_RETRY_PAUSE)
 
-    def _recovered(self) -> None:
+    def _handle_recovery(self) -> None:
         if self._failed_since is not None:
             log.info("folder_written_again", after_s=round(time.monotonic() - self._failed_since, 3))
             self._failed_since = None
 
-    def _make_room(self, now: float) -> None:
+    def _free_segments(self, now: float) -> None:
         """Drop what is no longer needed, then free the oldest segments while too few are free."""
         self.drop_expired(now)
         for segment in self._log.older_segments:
-            if self._log.used_bytes + FREE * self._segment_size <= self._disk:
+            if self._log.used_bytes + FREE_SEGMENTS * self._segment_size <= self._disk_bytes:
                 break
             for entry in [e for e in self.entries.values() if e.segment == segment]:
-                data = self._taken(entry)
+                data = self._encode_entry(entry)
                 if self._log.newest_size + len(data) > self._segment_size:
                     self._log.open_next()
                 self._log.append(data)
                 entry.segment = self._log.newest
             self._log.remove(segment)
 
-    def _forget(self, entry: Entry) -> None:
+    def _remove(self, entry: Entry) -> None:
         del self.entries[entry.number]
         if self.by_id.get(entry.id) == entry.number:
             del self.by_id[entry.id]
-        self._room -= entry.reserved_bytes
+        self._reserved_bytes -= entry.reserved_bytes
--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -319,7 +319,7 @@
         post_notice=lambda _: None,
         mailbox_capacity=10,
     )
-    told = decider._received(again.entries[1])
+    told = decider._received_event(again.entries[1])
     if ended is False:
         assert (told.may_have_run_at, told.may_have_run_zone) == (None, None)
     else:
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -731,7 +731,7 @@
     assert learn(2.0, True, member(3)) == {1, 2, 3}
     assert learn(20.5, False, member(2)) == {1, 2, 3}
     assert learn(21.5, False) == {2, 3}
-    assert len(decider._listed) == 2
+    assert len(decider._endpoints) == 2
 
 
 def test_an_ended_message_is_forgotten_once_its_time_is_up_and_its_notice_taken(tmp_path: Path) -> None:
