--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -111,7 +111,7 @@
             config.listen, settings, self._decider.mailbox.put, self.counters, self._max_clients
         )
         if self._live_settings is not None:
-            self._intake.update_settings(settings, self._live.in_force.classes, self._live.in_force.tenants)
+            self._intake.update_settings(settings, self._live_settings.in_force.classes, self._live_settings.in_force.tenants)
         self._retire_unlisted(cached_list)
         self._decider.recover(cached_list)
 
