--- a/irisstack/node/__init__.py
+++ b/irisstack/node/__init__.py
@@ -1,1 +1,1 @@
-"""The delivery node: real sockets around the decision module, in the order of a request's stages."""
+"""The delivery node: sockets, workers and storage around the decision module."""
--- a/irisstack/node/counters.py
+++ b/irisstack/node/counters.py
@@ -10,13 +10,13 @@
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
-        """Increase a counter, which begins at 0."""
+        """Increase a counter, which starts at 0."""
         self._counts[name] += count
 
     def record_max(self, name: str, value: int) -> None:
-        """Keep the largest value that was seen under a name."""
+        """Record a value; the counter holds the largest one so far."""
         self._counts[name] = max(self._counts[name], value)
 
     def snapshot(self) -> dict[str, int]:
-        """All counters so far, sorted by name."""
+        """All counters, sorted by name."""
         return dict(sorted(self._counts.items()))
--- a/irisstack/node/decider.py
+++ b/irisstack/node/decider.py
@@ -1,7 +1,7 @@
-"""The module's actor: sole owner of `Sender`, of the clock it is given and of its timer.
+"""The actor around the decision module: sole owner of the `Sender`, of its clock and of its timers.
 
-What its mailbox holds makes one turn. What a turn decides goes on record first; then clients hear of it; then
-calls leave. Nothing is decided here.
+Each turn handles all items in the mailbox. What a turn decides is first written to the state directory, then
+clients are answered, then calls are sent. Nothing is decided in this module.
 """
 
 import time
@@ -35,31 +35,31 @@
 from irisstack.shadow import ShadowSender
 
 OWN_TIMER_TOKEN = -1
-"""Of a timer that the node set for itself."""
+"""Token of a timer that the node set for itself rather than for the `Sender`."""
 REJECTION_RETRY_AFTER = 1.0
-"""Seconds after which one that finds no room here may come again, where the settings allow such advice."""
+"""Seconds; the Retry-After of a rejected message or client, where the settings allow one."""
 
 STATE_DIRECTORY_RETRY_INTERVAL = 0.05
-"""Seconds between two looks at a folder that cannot be written."""
+"""Seconds between attempts to write to a state directory whose last write failed."""
 
 log = structlog.get_logger()
 
 
 def rejection_retry_after(settings: api.Settings) -> float | None:
-    """The advice for one that finds no room here."""
+    """Seconds for the Retry-After of a rejected message or client; None if the settings allow none."""
     return min(REJECTION_RETRY_AFTER, settings.max_retry_after) if settings.advises_retry_after else None
 
 
 class Client(Protocol):
-    """Who handed a message in and waits for the answer."""
+    """The client that submitted a message and waits for the answer."""
 
     def answer(self, status: HTTPStatus, retry_after: float | None = None) -> bool:
-        """Write the answer; returns whether somebody was there to hear it."""
+        """Write the answer; returns whether the client was still connected."""
 
 
 @dataclass(slots=True, frozen=True)
 class Submission:
-    """A message that a client hands in."""
+    """A message submitted by a client."""
 
     client: Client
     id: str
@@ -68,13 +68,14 @@
     tenant: int
     destination: int
     due: float
+    """Deadline, in seconds of the monotonic clock."""
     is_retry: bool
     from_dead_sender: bool
     body: bytes
 
 
 class RejectReason(Enum):
-    """Why a message is not taken on by the node itself, whatever would be decided for it."""
+    """Why the node rejects a message before the `Sender` sees it. The values are parts of counter names."""
 
     STOPPING = "stopping"
     STATE_DIRECTORY_FAILING = "folder_fails"
@@ -83,38 +84,37 @@
 
 @dataclass(slots=True, frozen=True)
 class NewSettings:
-    """Settings that passed every check, to be in force from the next turn on, in all parts of the node."""
+    """Validated settings, to be in force in all parts of the node from the next turn on."""
 
     revision: int
     settings: api.Settings
-    """With the positions of those before them; what went is still at its place."""
+    """Classes, kinds, tenants and zones keep their previous positions; removed ones are still listed."""
     classes: Collection[str]
-    """In which new messages are taken on."""
+    """Names of the message classes in which new messages are accepted."""
     tenants: Collection[str]
-    """For whom new messages are taken on."""
+    """Names of the tenants for which new messages are accepted."""
 
 
 MailboxItem = Submission | AttemptResult | api.EndpointsUpdated | api.PeerMessage | NewSettings
-"""What comes to the decider's mailbox."""
+"""An item of the decider's mailbox."""
 
 
 @dataclass(slots=True)
 class _Turn:
-    """What one turn brings about, in the order in which it is carried out."""
+    """The effects of one turn, in the order in which they are carried out."""
 
-    submissions: dict[int, Submission] = field(default_factory=dict)
-    records: list[bytes] = field(default_factory=list)
-    finished: list[Entry] = field(default_factory=list)  # of which the platform is to hear
+    submissions: dict[int, Submission] = field(default_factory=dict)  # new messages, by number
+    records: list[bytes] = field(default_factory=list)  # to be written to the state directory
+    finished: list[Entry] = field(default_factory=list)  # messages whose notices are to be sent
     answers: list[tuple[Submission, HTTPStatus, float | None]] = field(default_factory=list)
-    resubmissions: list[tuple[Submission, int]] = field(
-        default_factory=list
-    )  # handed in before, under this number
+    # With the number of the message that was submitted earlier with the same id.
+    resubmissions: list[tuple[Submission, int]] = field(default_factory=list)
     sends: list[api.Send] = field(default_factory=list)
     other_actions: list[api.Action] = field(default_factory=list)
 
 
 class Decider:
-    """Turns what comes into events, and actions into what is done."""
+    """Turns mailbox items into events for the `Sender`, and carries out the actions it returns."""
 
     def __init__(
         self,
@@ -131,11 +131,10 @@
         trial_settings: api.Settings | None = None,
         apply_settings: Callable[[NewSettings], api.EndpointsUpdated | None] | None = None,
     ) -> None:
-        """`settings_taken` puts other settings in force in all other parts; None where they never change."""
+        """`apply_settings` puts new settings in force in all other parts; None if settings never change."""
         self._apply_settings = apply_settings
-        self._unknown_class_entries: list[
-            tuple[float, Entry]
-        ] = []  # owed till then, under classes not known yet
+        # Recovered messages whose class is not known yet, with their deadlines (monotonic clock).
+        self._unknown_class_entries: list[tuple[float, Entry]] = []
         self._sender = Sender(settings, seed)
         if trial_settings is not None:
             self._sender = ShadowSender(settings, trial_settings, seed, counters.add)
@@ -149,19 +148,17 @@
         self._post_notice = post_notice
         self.mailbox: Queue[MailboxItem] = Queue(1)
         self.set_mailbox_capacity(mailbox_capacity)
-        self._next_events: list[api.Event] = []  # known already, for the next turn
-        self._timers: list[tuple[float, int]] = []
-        self._in_flight: dict[int, tuple[api.Address, float]] = {}  # calls out: endpoint, sent at
-        self._endpoints: dict[api.Address, api.Endpoint] = {}
-        self._deferred_notices: list[Entry] = []  # ended, but that is not on record yet
-        self._unlisted_since: dict[
-            api.Address, float
-        ] = {}  # of these, the ones no longer listed, and since when
+        self._next_events: list[api.Event] = []  # events that the next turn begins with
+        self._timers: list[tuple[float, int]] = []  # heap of time and token
+        self._in_flight: dict[int, tuple[api.Address, float]] = {}  # endpoint and send time, by message
+        self._endpoints: dict[api.Address, api.Endpoint] = {}  # listed now or until recently
+        self._deferred_notices: list[Entry] = []  # finished messages whose result is not written yet
+        self._unlisted_since: dict[api.Address, float] = {}  # keys of `_endpoints` that are no longer listed
         self._destinations: set[int] = set()
         self._last_turn_at = -1.0
         self._set_settings(settings)
-        self.rejecting = False  # nothing new is taken on
-        self.sends_stopped = False  # nothing more is sent
+        self.rejecting = False  # new messages are rejected
+        self.sends_stopped = False  # no further calls are sent
 
     def _set_settings(self, settings: api.Settings) -> None:
         self._settings = settings
@@ -170,7 +167,7 @@
         self._rejection_retry_after = rejection_retry_after(settings)
 
     def set_mailbox_capacity(self, capacity: int) -> None:
-        """Let the mailbox hold so many items at least; notes may fill half of it."""
+        """Let the mailbox hold at least `capacity` items; gossip may fill half of that."""
         enlarge(self.mailbox, capacity)
         self._gossip_limit = capacity // 2
 
@@ -178,25 +175,25 @@
     def calls_in_flight(self) -> int:
         return len(self._in_flight)
 
-    # ---- the start ----
+    # ---- startup ----
 
     def recover(self, cached_list: api.EndpointsUpdated) -> None:
-        """The list as it was last held, and what an earlier life of this node owes."""
+        """Start from the cached endpoint list and the messages that the previous process left pending."""
         now = time.monotonic()
         self._apply_update(cached_list, now)
         pending: list[api.Event] = []
-        for _, entry in sorted(self._store.entries.items()):  # in the order in which they were taken on
+        for _, entry in sorted(self._store.entries.items()):  # in order of acceptance
             if entry.notice_pending:
                 self._post_notice(entry)
             if not entry.pending:
                 continue
             if entry.message_class in self._classes:
                 pending.append(self._received_event(entry))
-            elif self._apply_settings is not None:  # the settings that it was taken on under may yet come
+            elif self._apply_settings is not None:  # the settings that define the class may still arrive
                 due = self._clock.to_monotonic(entry.due)
                 self._unknown_class_entries.append((due, entry))
                 heappush(self._timers, (due, OWN_TIMER_TOKEN))
-            else:  # the settings changed between two lives
+            else:  # the settings have changed since the previous process
                 self._finish_unknown_class(entry)
         self._next_events = [cached_list, *pending]
         self._counters.add("recovered", len(pending))
@@ -207,7 +204,7 @@
         self._post_notice(entry)
 
     def _recover_unknown_class(self, now: float) -> list[api.Event]:
-        """What is owed under a class that is known now goes on; whose time is up has ended."""
+        """Recover pending messages whose class is known now; finish those whose deadline has passed."""
         events: list[api.Event] = []
         waiting, self._unknown_class_entries = self._unknown_class_entries, []
         for due, entry in waiting:
@@ -221,7 +218,7 @@
         return events
 
     def _received_event(self, entry: Entry) -> api.MessageReceived:
-        """What the module is told of a message, be it new or one that outlived a process."""
+        """The event for a message, whether new or recovered from a previous process."""
         may_have_run_at = None if entry.ran_at is None else self._clock.to_monotonic(entry.ran_at)
         zones = self._settings.zones
         return api.MessageReceived(
@@ -237,10 +234,10 @@
             may_have_run_zone=zones.index(entry.ran_in) if entry.ran_in in zones else None,
         )
 
-    # ---- the loop ----
+    # ---- main loop ----
 
     def run(self) -> None:
-        """One turn after another, the settings' resolution apart at the least."""
+        """Run turns, at least the settings' clock resolution apart."""
         while True:
             items = [] if self._next_events else self._wait_for_item()
             pause = self._last_turn_at + self._settings.clock_resolution - time.monotonic()
@@ -254,7 +251,10 @@
             self._turn(items)
 
     def receive_gossip(self, message: api.PeerMessage) -> bool:
-        """Take a note, unless the mailbox is half full: clients, calls and the list go first."""
+        """Queue a gossip message; returns false if the mailbox is half full.
+
+        Clients, calls and the endpoint list take precedence over gossip.
+        """
         if self.mailbox.qsize() >= self._gossip_limit:
             return False
         self.mailbox.put(message)
@@ -276,7 +276,7 @@
             self._counters.add("wall_clock_steps")
             log.warning("wall_clock_stepped", by_s=round(step, 3))
         turn = _Turn()
-        # First of all: a turn is under one set of settings from its begin to its end.
+        # Settings come first, so that a whole turn runs under one set of settings.
         events = self._apply_newest_settings(items, now)
         events += self._next_events
         self._next_events = []
@@ -304,7 +304,7 @@
     # ---- events ----
 
     def _apply_newest_settings(self, items: Sequence[MailboxItem], now: float) -> list[api.Event]:
-        """Put the newest of the settings that have come in force here and in all other parts."""
+        """Put the newest of the queued settings in force, here and in all other parts of the node."""
         newest = None
         for item in items:
             if isinstance(item, NewSettings):
@@ -360,7 +360,7 @@
         events.append(self._received_event(entry))
 
     def _reject_reason(self, entry: Entry, now: float) -> "RejectReason | None":
-        """Why a message that came in is not even considered, if there is a reason."""
+        """Why a new message is rejected before the `Sender` sees it; None if it is not."""
         if self.rejecting:
             return RejectReason.STOPPING
         if not self._store.may_write:
@@ -413,20 +413,23 @@
                 result.outcome,
                 result.retry_after,
                 result.no_free_slot,
-                # Numbers that were read by the names of settings no longer in force would pass for others.
+                # A report read under the field names of previous settings would be taken for other fields.
                 result.report if result.report_fields == self._settings.report_fields else (),
             )
         )
 
     def _resubmission_status(self, number: int) -> HTTPStatus:
-        """The answer to the same handing in once more: it is not taken twice."""
+        """The answer to a repeated submission, which is not accepted a second time."""
         entry = self._store.entries.get(number)
         if entry is None or entry.result not in ("", "delivered"):
             return HTTPStatus.SERVICE_UNAVAILABLE
         return HTTPStatus.OK if entry.result else HTTPStatus.ACCEPTED
 
     def _withhold_calls(self, address: api.Address, until: float) -> None:
-        """A wait was told: what is still connecting to the destination, or the route, must not leave."""
+        """Withhold calls that are not sent yet, after a Retry-After from this endpoint.
+
+        It applies to the whole destination, or only to the endpoint if its kind has separate routes.
+        """
         destination, separate_routes = (
             self._endpoints[address].destination,
             self._destination_kind(address).separate_routes,
@@ -438,10 +441,10 @@
                 self._send_command(other, WithholdCalls(until))
 
     def _apply_update(self, update: api.EndpointsUpdated, now: float) -> None:
-        """Keep what a call needs to know of its endpoint, and for whom messages may be.
+        """Update the known endpoints and destinations.
 
-        Both outlast an endpoint by the time that a message may wait: its calls still end, and its destination
-        may be between one endpoint and the next.
+        An endpoint that has left the list is kept for the longest deadline of any class: its calls may still
+        end, and its destination may be about to get its next endpoint.
         """
         if update.scope is api.UpdateScope.FAILED:
             return
@@ -470,7 +473,7 @@
         return self._settings.kinds[self._endpoints[address].kind]
 
     def _zone_name(self, address: api.Address) -> str:
-        """The name of an endpoint's zone, empty for one that the settings do not name."""
+        """The name of an endpoint's zone; empty if the settings do not name it."""
         zone, names = self._endpoints[address].zone, self._settings.zones
         return names[zone] if zone < len(names) else ""
 
@@ -494,7 +497,7 @@
                 turn.other_actions.append(action)
 
     def _finish_undelivered(self, number: int, result: str, retry_after: float | None, turn: _Turn) -> None:
-        """An end that is not delivery: the answer itself where the client still waits, else a notice."""
+        """Finish a message that is not delivered: answer the client if it still waits, else send a notice."""
         submission = turn.submissions.pop(number, None)
         log.debug(
             "message_given_up",
@@ -537,7 +540,7 @@
         self._send_calls(turn.sends, now)
 
     def _reject_unrecorded(self, turn: _Turn) -> None:
-        """Messages that could not be put on record were not taken on, whatever was decided for them."""
+        """Reject messages whose records could not be written, whatever the `Sender` decided for them."""
         for number, submission in turn.submissions.items():
             self._reject(submission, RejectReason.STATE_DIRECTORY_FAILING, turn)
             self._store.discard(number)
@@ -545,10 +548,11 @@
         turn.submissions.clear()
 
     def _post_notices(self, finished: list[Entry], written: bool, now: float) -> None:
-        """Post notices of ends that are on record.
+        """Post the notices of finished messages whose results are written to the state directory.
 
-        Told before, an end could be undone by a restart, which would find the message owed and send it. Once
-        its time is up no life sends it any more, and its notice is due whatever the folder does.
+        If a notice were sent before that, a restarted process could find the message pending and send it
+        again. After its deadline no process sends a message any more, so its notice is posted even if the
+        state directory cannot be written.
         """
         self._deferred_notices += finished
         if not self._deferred_notices:
@@ -577,11 +581,11 @@
                 log.error("action_unknown", action=repr(action))
 
     def _send_calls(self, sends: list[api.Send], now: float) -> None:
-        """What goes to one endpoint in one turn travels together, as far as its kind allows."""
+        """Send the messages for one endpoint in batch calls, as large as its kind allows."""
         by_endpoint: dict[api.Address, list[OutgoingMessage]] = {}
         for send in sends:
             entry = self._store.entries.get(send.message)
-            if entry is None or not entry.pending:  # withdrawn in this very turn
+            if entry is None or not entry.pending:  # withdrawn in this turn
                 self._next_events.append(
                     api.AttemptEnded(send.message, send.endpoint, 0, 0.0, True, api.Outcome.NOT_SENT)
                 )
@@ -595,7 +599,7 @@
                 endpoint=format_host_port(to_host_port(send.endpoint)),
                 attempt=entry.attempts,
             )
-            due = self._clock.to_monotonic(entry.due)  # as accepted, whatever the wall clock did since
+            due = self._clock.to_monotonic(entry.due)  # unaffected by wall-clock steps
             give_up_at = min(due, send.give_up_at or due)
             by_endpoint.setdefault(send.endpoint, []).append(
                 OutgoingMessage(
--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -1,6 +1,6 @@
-"""Settings that change while the node runs: what is in force, and whether what is proposed may follow it.
+"""Settings that change while the node runs: those in force, and the check of proposed ones.
 
-Loaded only where the configuration names `dynamic_settings`. A document is checked here as a whole; the
+Imported only if the configuration has `dynamic_settings`. A settings document is checked here as a whole; the
 service and the decider put it in force in all parts of the node.
 """
 
@@ -22,14 +22,14 @@
 
 
 class LiveSettings:
-    """The settings in force beside the node's own file, which the stream's items are laid over."""
+    """The settings in force, and the node's own file, which the items of the settings stream override."""
 
     def __init__(self, base: Mapping[str, Any], peers: tuple[HostPort, ...], max_calls_limit: int) -> None:
-        """`most_calls` is what the limits leave descriptors for; raises `SettingsError` for a bad file."""
+        """`max_calls_limit`: the calls that `limits.sockets` allows. Raises `SettingsError`."""
         self._base = base
         self._peers = peers
         file_settings = disable_gossip_without_peers(read(Reader(base)), peers)
-        # What the file itself asks for is the operators' own choice, as without these settings.
+        # A larger value in the file is the operators' choice, as it is without dynamic settings.
         self._max_calls_limit = max(file_settings.max_calls, max_calls_limit)
         self._file_settings = self._parse(base)
         self.in_force = _accepted_settings(self._file_settings, self._file_settings, {})
@@ -37,10 +37,11 @@
     def restore(
         self, items: Mapping[str, Any], retired: Mapping[str, Any], pending_classes: Collection[str]
     ) -> None:
-        """At the start: put in force what an earlier life saved, with what messages are owed under.
+        """At startup, put in force the items saved by the previous process.
 
-        `owed` names the classes of the messages that are owed. What else had gone is dropped. Items that no
-        longer fit the node's file are left; what messages are owed under is still kept.
+        Of the removed definitions in `retired`, those that pending messages need are kept, the others are
+        dropped; `pending_classes` names the classes of these messages. Items that no longer fit the node's
+        file are not put in force, but what pending messages need is kept even then.
         """
         try:
             self.in_force = self._restored_settings(items, retired, pending_classes)
@@ -52,16 +53,16 @@
             )
 
     def check(self, items: Mapping[str, Any]) -> AcceptedSettings:
-        """What the node would run by under these items; raises `SettingsError` if it cannot."""
+        """The settings of the node under these items; raises `SettingsError` if they are invalid."""
         with _only_raising_settings_errors():
             proposed = self._parse(compose(self._base, items))
             merged = merge(self.in_force.settings, proposed)
             retired = definitions_of_gone(merged, proposed)
-            check_size(retired, "what went")  # it has to be saved; a restart drops what nothing needs
+            check_size(retired, "removed definitions")  # they have to be saved; a restart drops unneeded ones
             return _accepted_settings(merged, proposed, retired)
 
     def check_without_raising(self, items: Mapping[str, Any]) -> AcceptedSettings | SettingsError:
-        """As `check`, with the error as a value: gevent logs one that leaves a thread as a fault."""
+        """Like `check`, but returns the error: gevent logs an exception raised in a thread as a fault."""
         try:
             return self.check(items)
         except SettingsError as error:
@@ -72,8 +73,8 @@
         check_values(settings)
         if settings.max_calls > self._max_calls_limit:
             raise SettingsError(
-                f"extra.maxCalls: limits.sockets allows {self._max_calls_limit} at most, "
-                f"not {settings.max_calls}"
+                f"extra.maxCalls: expected at most {self._max_calls_limit}, as limits.sockets allows, "
+                f"got {settings.max_calls}"
             )
         return settings
 
@@ -88,7 +89,7 @@
             return _accepted_settings(settings, proposed, definitions_of_gone(settings, proposed))
 
     def _usable_definitions(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
-        """Those that may stand beside the node's own file."""
+        """The definitions that are valid together with the node's own file."""
         usable = {}
         for path, value in definitions.items():
             try:
@@ -103,7 +104,7 @@
 
 @contextmanager
 def _only_raising_settings_errors() -> Iterator[None]:
-    """Whatever is wrong with a document, it ends no node."""
+    """Turn any other exception into a `SettingsError`, so that no document can end the node."""
     try:
         yield
     except SettingsError:
@@ -124,6 +125,6 @@
 
 
 def _is_needed(path: str, pending_classes: Collection[str]) -> bool:
-    """Whether a definition that went is needed: a class by its messages, a kind by any that may go there."""
+    """Whether pending messages need a removed definition: a class its own, a kind of destination any."""
     group, _, name = path.partition("/")
     return name in pending_classes if group == LANES else group == KINDS and bool(pending_classes)
--- a/irisstack/node/mailbox.py
+++ b/irisstack/node/mailbox.py
@@ -1,4 +1,4 @@
-"""What all mailboxes have in common."""
+"""A helper for the mailboxes of all actors."""
 
 from typing import Any
 
@@ -6,6 +6,9 @@
 
 
 def enlarge(mailbox: "Queue[Any]", capacity: int) -> None:
-    """Let a mailbox hold so many items. It never shrinks: what was under way before may still come."""
-    # gevent's stubs leave out that it can be set.
+    """Let a mailbox hold at least `capacity` items.
+
+    It never shrinks, since items counted in an earlier capacity may still arrive.
+    """
+    # gevent's type stubs declare no setter.
     mailbox.maxsize = max(mailbox.maxsize or 0, capacity)  # type: ignore[misc]
--- a/irisstack/node/record_clock.py
+++ b/irisstack/node/record_clock.py
@@ -1,10 +1,10 @@
-"""The clock of what is recorded: Unix time as of an anchor, which no later step of the wall clock moves.
+"""The record clock: the clock of stored times, which later steps of the wall clock do not affect.
 
-A record outlives the process, so its times need a clock that all lives of the process share. The monotonic
-clock is one, for as long as the machine has not booted. Its readings mean nothing after a boot, so what is
-recorded is Unix time all the same: the monotonic clock plus an offset. The offset is taken from the wall
-clock once for each boot, recorded, and taken over by every later life. Only after a boot is the wall clock
-asked again, and has to be trusted for the time in between.
+Records outlive the process, so their times need a clock that all processes share. The monotonic clock is one
+until the machine boots; after a boot its earlier readings mean nothing. Recorded times are therefore Unix
+time, computed as the monotonic clock plus an offset. The offset (the anchor) is read from the wall clock once
+per boot, recorded, and reused by every later process. Only after a boot is the wall clock read again, and has
+to be trusted for the time in between.
 """
 
 import time
@@ -13,29 +13,29 @@
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 MIN_STEP = 0.25
-"""Seconds by which the clocks part between two looks, at least, in a step: one that is slewed drifts."""
+"""Seconds; a smaller change between two checks counts as drift of a slewed clock, not as a step."""
 
 
 @dataclass(slots=True, frozen=True)
 class Anchor:
-    """What the clock is held by."""
+    """The offset of the record clock, and when it was read."""
 
     boot: str
-    """Names the boot of the machine; empty where the system does not tell it."""
+    """Identifies the boot of the machine; empty if the system does not provide it."""
     offset: float
-    """Seconds from the monotonic clock to Unix time, as of when the anchor was set."""
+    """Seconds from the monotonic clock to Unix time when the anchor was set."""
     since: float
-    """When it was set, on the monotonic clock."""
+    """When the anchor was set, on the monotonic clock."""
 
 
 class RecordClock:
-    """Turns the monotonic clock into the time of records and back."""
+    """Converts between the monotonic clock and the times in records."""
 
     def __init__(self, anchor: Anchor) -> None:
         self.anchor = anchor
 
     def now(self) -> float:
-        """The time of a record that is made now."""
+        """The current time for a record."""
         return self.to_record_time(time.monotonic())
 
     def to_record_time(self, monotonic: float) -> float:
@@ -45,14 +45,14 @@
         return record_time - self.anchor.offset
 
     def anchor_record(self) -> dict[str, object]:
-        """The anchor as a note for the folder."""
+        """The fields of the record that stores the anchor."""
         return {"t": "clock", **asdict(self.anchor)}
 
 
 def resume_clock(anchor: Anchor | None) -> RecordClock:
-    """The clock of the lives before, unless the machine has booted since; else one that begins now.
+    """The record clock of the previous process; a new one if the machine has booted since.
 
-    Where the system does not tell its boots, a monotonic clock that stands before the anchor shows one.
+    If the system provides no boot id, a monotonic clock earlier than the anchor shows that it has booted.
     """
     boot, monotonic = _boot_id(), time.monotonic()
     if anchor is not None and anchor.boot == boot and anchor.since <= monotonic:
@@ -61,20 +61,20 @@
 
 
 class StepDetector:
-    """Notices steps of the wall clock, for the log: nothing is decided by them."""
+    """Detects steps of the wall clock, for the log only."""
 
     def __init__(self) -> None:
         self._offset = wall_clock() - time.monotonic()
 
     def detect(self) -> float | None:
-        """By how many seconds the wall clock was stepped since the last look, if it was."""
+        """Seconds by which the wall clock was stepped since the last check; None if it was not."""
         offset = wall_clock() - time.monotonic()
         step, self._offset = offset - self._offset, offset
         return step if abs(step) >= MIN_STEP else None
 
 
 def wall_clock() -> float:
-    """Unix time as the machine tells it just now; it may be stepped, so no span is measured with it."""
+    """Current Unix time. The wall clock may be stepped, so it must not be used to measure durations."""
     return time.time()  # noqa: TID251
 
 
--- a/irisstack/node/records.py
+++ b/irisstack/node/records.py
@@ -1,4 +1,4 @@
-"""The form of a record in the lasting folder: a head (two lengths and a checksum), a JSON note and a body."""
+"""The format of a stored record: a header (two lengths and a checksum), fields in JSON, and a body."""
 
 import json
 import struct
@@ -18,7 +18,10 @@
 
 
 def decode(data: bytes) -> Iterator[tuple[Fields, bytes]]:
-    """The records of a segment, up to the first that is torn. Zeros are torn too, though their sum fits."""
+    """The records of a segment, up to the first torn one.
+
+    A header of zeros counts as torn, although its checksum matches.
+    """
     position = 0
     while position + HEADER.size <= len(data):
         fields_size, body_size, checksum = HEADER.unpack_from(data, position)
--- a/irisstack/node/results.py
+++ b/irisstack/node/results.py
@@ -1,4 +1,4 @@
-"""Results of attempts: the outcome of an answer, or of an attempt that ended without one. No decisions."""
+"""Results of attempts, derived from the endpoint's answer or from how an attempt without one ended."""
 
 import errno
 import math
@@ -11,7 +11,7 @@
 
 
 class Reached(IntEnum):
-    """How far an attempt came. It may have run only once its last byte was written."""
+    """How far an attempt got. It can have run only if its last byte was written."""
 
     NOTHING = auto()
     CONNECTED = auto()
@@ -22,15 +22,15 @@
 class EndReason(IntEnum):
     """Why an attempt ended without an answer."""
 
-    BROKEN = auto()
-    GIVEN_UP = auto()
-    CALLED_OFF = auto()
-    WITHHELD = auto()  # not sent: nothing may go to the endpoint any more, or not yet
+    BROKEN = auto()  # an error, such as a reset connection
+    GIVEN_UP = auto()  # timed out
+    CALLED_OFF = auto()  # cancelled
+    WITHHELD = auto()  # not sent: the endpoint must not be called any more, or not yet
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """The result of one attempt; `over` says that the message is final, `retry_after` is in seconds."""
+    """The result of one attempt; `final` if the message needs no further one, `retry_after` in seconds."""
 
     outcome: Outcome
     reached: Reached
@@ -39,9 +39,9 @@
     no_free_slot: bool = False
     report: tuple[float, ...] = ()
     report_fields: tuple[str, ...] = field(default=(), compare=False)
-    """What the numbers of the report are."""
+    """The names of the numbers in the report."""
     error: str = field(default="", compare=False)
-    """What broke an attempt that ended without an answer, as the system names it (`ECONNREFUSED`)."""
+    """The system's name of the error that ended an attempt without an answer, such as `ECONNREFUSED`."""
 
 
 DELIVERED = Result(Outcome.OK, Reached.ANSWERED, final=True)
@@ -50,7 +50,7 @@
     EndReason.GIVEN_UP: Outcome.TIMEOUT,
     EndReason.CALLED_OFF: Outcome.CANCELLED,
 }
-"""The outcome of an attempt that was sent in full and got no answer: it may have run."""
+"""The outcome of an attempt that was sent in full and got no answer; it may have run."""
 OUTCOME_BY_WORD = {
     "accepted": (Outcome.OK, True),
     "fault": (Outcome.ERROR, False),
@@ -58,7 +58,7 @@
     "expired": (Outcome.NOT_SENT, True),
     "no_more": (Outcome.NOT_SENT, False),
 }
-"""Outcome and finality by the word for one message in the answer to a shared call."""
+"""Outcome, and whether it is final, by the word for a message in the answer to a batch call."""
 
 
 def unanswered_result(reached: Reached, reason: EndReason) -> Result:
@@ -71,13 +71,13 @@
 
 
 def error_name(error: Exception) -> str:
-    """The system's name of an error, or its type where it has none."""
+    """The system's name of an error (`ECONNREFUSED`), or its type if it has none."""
     code = error.errno if isinstance(error, OSError) else None
     return type(error).__name__ if code is None else errno.errorcode.get(code, str(code))
 
 
 def _positive_number(text: str | None) -> float | None:
-    """A header's positive finite number; `None` if it has none."""
+    """The positive finite number in a header; None if there is none."""
     try:
         value = float(text) if text is not None else 0.0
     except ValueError:
@@ -86,7 +86,7 @@
 
 
 def _load_report(message: Message, report_fields: Sequence[str]) -> tuple[float, ...]:
-    """The load report, in the order of the settings' fields; empty if there is none or it cannot be read."""
+    """The load report, in the order of `report_fields`; empty if it is missing or invalid."""
     header = message.headers.get("x-server-load")
     if header is None or not report_fields:
         return ()
@@ -101,7 +101,7 @@
 
 
 def answer_result(message: Message, report_fields: Sequence[str]) -> Result:
-    """The result that an answer gives to every message of its call."""
+    """The result of an answer for every message of its call."""
     retry_after = _positive_number(message.headers.get("retry-after"))
     report = _load_report(message, report_fields)
     no_free_slot = message.headers.get("x-line-busy") == "1"
@@ -122,7 +122,7 @@
 
 
 def batch_results(message: Message, ids: Sequence[str], report_fields: Sequence[str]) -> dict[str, Result]:
-    """The result of each message of a shared call, by id; one that the answer does not name may have run."""
+    """The result of each message of a batch call, by id; one that the answer omits may have run."""
     call_result = answer_result(message, report_fields)
     if message.status in (400, 413):
         return dict.fromkeys(ids, Result(Outcome.NOT_SENT, Reached.ANSWERED))
--- a/irisstack/node/retry.py
+++ b/irisstack/node/retry.py
@@ -1,4 +1,4 @@
-"""Tries again for a time what fails for want of something that may be had in a moment."""
+"""Retries operations that fail with transient errors."""
 
 import time
 from collections.abc import Callable
@@ -16,10 +16,10 @@
     first_pause: float,
     max_pause: float,
 ) -> ResultT:
-    """Call `attempt` with the seconds that are left until it succeeds.
+    """Call `operation` with the remaining seconds until it succeeds, and return its result.
 
-    Raises its error if that does not pass by itself, or if the time would be over before the next attempt.
-    The pauses between attempts double, up to the longest.
+    Raises its error if that is not transient, or if the time limit would pass before the next call.
+    The pauses between calls double from `first_pause` up to `max_pause`.
     """
     deadline, pause = time.monotonic() + time_limit, first_pause
     while True:
--- a/irisstack/node/segments.py
+++ b/irisstack/node/segments.py
@@ -1,7 +1,7 @@
-"""Numbered files that are appended to, oldest first. An append that fails leaves no trace.
+"""A log in numbered segment files, of which only the newest is appended to.
 
-Each segment begins with a head that its owner gives. A part of a failed append is cut off again; where that
-fails too the segment is closed, since what followed a torn record would not be read.
+Each segment begins with a header record set by the owner. After a failed append the file is truncated to its
+previous size. If that fails too, the segment is closed, since records after a torn one would not be read.
 """
 
 import os
@@ -13,22 +13,22 @@
 from irisstack.node import records
 
 BLOCK_SIZE = 512
-"""Files count in whole units of this size."""
+"""Bytes; file sizes are rounded up to a multiple of it."""
 
 
 class SegmentLog:
-    """The segments of a folder; all methods that write raise `OSError`."""
+    """The segments of a directory; all methods that write raise `OSError`."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
-        self._descriptor = -1  # of the newest segment, once it was opened
-        self.sizes: dict[int, int] = {}
-        self.newest = 0
+        self._descriptor = -1  # of the newest segment; -1 while it is not open
+        self.sizes: dict[int, int] = {}  # in bytes, by segment number
+        self.newest = 0  # number of the newest segment
         self.header = b""
-        """What each new segment begins with."""
+        """The record that each new segment begins with."""
 
     def read(self) -> Iterator[tuple[int, records.Fields, bytes]]:
-        """All records, each with its segment's number; called once, before anything is written."""
+        """All records, each with the number of its segment; called once, before the first write."""
         for path in sorted(self._directory.glob("[0-9]" * 10 + ".log")):
             segment = int(path.stem)
             data = path.read_bytes()
@@ -39,7 +39,7 @@
 
     @property
     def older_segments(self) -> list[int]:
-        """The segments before the newest, oldest first."""
+        """Numbers of all segments but the newest, oldest first."""
         return sorted(self.sizes)[:-1]
 
     @property
@@ -49,11 +49,11 @@
 
     @property
     def used_bytes(self) -> int:
-        """Bytes of the folder in use."""
+        """Bytes used by all segments."""
         return sum(-(-size // BLOCK_SIZE) * BLOCK_SIZE for size in self.sizes.values())
 
     def open_next(self) -> None:
-        """Begin another segment; if that fails, the one before stays."""
+        """Open the next segment; if that fails, the previous one stays the newest."""
         number = self.newest + 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         descriptor = os.open(self._path(number), flags, 0o600)
@@ -69,7 +69,7 @@
         self.sizes[number] = len(self.header)
 
     def append(self, data: bytes) -> None:
-        """Append to the newest segment, or to another where that one cannot be appended to."""
+        """Append to the newest segment, or to a new one if that one is closed."""
         if self._descriptor < 0:
             self.open_next()
         size = self.sizes[self.newest]
@@ -87,7 +87,7 @@
         del self.sizes[segment]
 
     def close(self) -> None:
-        """Let go of the newest segment; an append begins another."""
+        """Close the newest segment; the next append opens another."""
         if self._descriptor >= 0:
             with suppress(OSError):
                 os.close(self._descriptor)
@@ -109,5 +109,5 @@
     while data:
         written = os.write(descriptor, data)
         if not written:
-            raise OSError(EIO, "nothing was written")
+            raise OSError(EIO, "wrote 0 bytes")
         data = data[written:]
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -1,4 +1,4 @@
-"""The whole node: its parts wired together, its signals, its end."""
+"""The node as a whole: construction of its parts, signal handling and shutdown."""
 
 import signal
 import sys
@@ -29,35 +29,35 @@
 from irisstack.node.store import Store
 from irisstack.settings import SettingsError
 
-if TYPE_CHECKING:  # loaded only where settings may change
+if TYPE_CHECKING:  # imported at run time only if settings may change
     from irisstack.dynamic_settings.accepted import AcceptedSettings
     from irisstack.node.live_settings import LiveSettings
     from irisstack.node.settings_watch import SettingsWatch
 
 SHUTDOWN_SEND_PERIOD = 2.2
-"""Seconds after SIGTERM in which calls still leave."""
+"""Seconds after SIGTERM during which calls are still sent."""
 SHUTDOWN_DEADLINE = 3.3
-"""Seconds after SIGTERM at which the node ends, whatever is still out."""
+"""Seconds after SIGTERM at which the node exits, even with calls in flight."""
 SHUTDOWN_ACCEPT_PERIOD = 0.9
-"""Seconds after SIGTERM in which clients may still come."""
+"""Seconds after SIGTERM during which clients may still connect."""
 RESERVED_DESCRIPTORS = 48
-"""Kept for the listening socket, clients in the doorway, the list, notices and the folder."""
+"""Descriptors reserved for the listening socket, new clients, the endpoint list, notices and stored data."""
 MAX_WAITING_LINES = 1024
-"""Lines of the list that are kept until their kind is known, where kinds may come while the node runs."""
+"""Endpoint list lines kept until their kind is known, where settings changes may add kinds."""
 STATE_READ_TIMEOUT, STATE_READ_RETRY_PAUSE = 20.0, 0.2
-"""Seconds in which the folder has to be read at the start, and from a failure to the next try."""
+"""Seconds for reading the state directory at startup, and between attempts."""
 LISTEN_TIMEOUT = 10.0
-"""Seconds in which the node's own sockets have to be had at the start, where the machine lacks something."""
+"""Seconds for opening the node's own sockets at startup while the machine is out of resources."""
 SHUTDOWN_POLL_INTERVAL = 0.05
-"""Seconds between two looks at what is left to end."""
+"""Seconds between checks whether the shutdown is complete."""
 NO_RESTART_NEEDED = ("discovery", "known", "seed")
-"""What a running node follows when the file changes, or needs at its start alone; the rest waits."""
+"""Configuration keys whose change needs no restart: applied on reload, or used at startup only."""
 
 log = structlog.get_logger()
 
 
 class Service:
-    """One node."""
+    """One node process: owns all parts and connects them."""
 
     def __init__(self, config: Config, stop: Event, reload: Event) -> None:
         self._config = config
@@ -86,7 +86,7 @@
             counters=self.counters,
         )
         self._endpoints: dict[api.Address, Endpoint] = {}
-        self._retired_endpoints: list[Endpoint] = []  # no longer offered, their last calls still out
+        self._retired_endpoints: list[Endpoint] = []  # no longer listed, with their last calls in flight
         self._listed_addresses: set[api.Address] = set()
         self._decider = Decider(
             settings,
@@ -111,7 +111,9 @@
             config.listen, settings, self._decider.mailbox.put, self.counters, self._max_clients
         )
         if self._live_settings is not None:
-            self._intake.update_settings(settings, self._live_settings.in_force.classes, self._live_settings.in_force.tenants)
+            self._intake.update_settings(
+                settings, self._live_settings.in_force.classes, self._live_settings.in_force.tenants
+            )
         self._retire_unlisted(cached_list)
         self._decider.recover(cached_list)
 
@@ -120,10 +122,10 @@
         try:
             return reader.parse_update({**empty, **self._config.known}, api.UpdateScope.CACHED)
         except (ValueError, KeyError, TypeError):
-            raise ConfigError("known: no list of endpoints") from None
+            raise ConfigError("known: expected an endpoint list with revision and members") from None
 
     def run(self) -> int:
-        """Serve until asked to stop; returns the exit code."""
+        """Serve until the stop event; returns the exit code."""
         worker_functions = [
             self._decider.run,
             self._discovery.run,
@@ -156,7 +158,7 @@
         return 0
 
     def _reload_configuration(self) -> None:
-        """At each SIGHUP, follow what the file says now; one that cannot be used changes nothing."""
+        """Reload the configuration file at each SIGHUP; an invalid file changes nothing."""
         while True:
             self._reload.wait()
             self._reload.clear()
@@ -165,7 +167,7 @@
             except ConfigError as error:
                 log.error("configuration_not_taken", error=str(error))
                 continue
-            except Exception as error:  # whatever it is, a node that serves is not ended by a file
+            except Exception as error:  # no fault of a file may end a serving node
                 log.error("configuration_not_taken", error=repr(error))
                 continue
             if loaded.discovery != self._config.discovery:
@@ -185,15 +187,15 @@
             self._config = replace(self._config, discovery=loaded.discovery)
 
     def _handle_worker_failure(self, worker: "gevent.Greenlet[..., None]") -> None:
-        """A part that fails takes the node with it: the folder knows all that is owed."""
+        """Stop the node if a worker fails: all pending messages are in the state directory."""
         log.critical("part_failed", error=repr(worker.exception))
         self._stop.set()
 
     def _shut_down(self, requested_at: float) -> None:
-        """Graceful shutdown: turn away what is new, end what is out, leave the rest to the next life.
+        """Graceful shutdown: reject new messages, finish calls in flight, leave the rest to the next process.
 
-        The node ends once each client that came has its answer, no call is out and nothing is left to tell or
-        to send; at `END_BY` whatever there is.
+        The node exits once every client has its answer, no call is in flight and nothing is left to send or
+        to notify, at the latest after `SHUTDOWN_DEADLINE`.
         """
         log.info("stopping", calls_out=self._decider.calls_in_flight)
         self._decider.rejecting = True
@@ -211,14 +213,14 @@
                 break
             if elapsed > SHUTDOWN_ACCEPT_PERIOD:
                 self._intake.close()
-            gevent.sleep(SHUTDOWN_POLL_INTERVAL)  # longer than it takes those just accepted to count as here
+            gevent.sleep(SHUTDOWN_POLL_INTERVAL)  # longer than the intake takes to count a new client
         self._intake.close()
         if self._gossip is not None:
             self._gossip.close()
         self._store.close()
         log.info("stopped", clients_left=not self._intake.no_clients, **self.counters.snapshot())
 
-    # ---- between the parts ----
+    # ---- messages between the parts ----
 
     def _send_gossip(self, peer: int | None, data: bytes) -> None:
         if self._gossip is not None:
@@ -229,7 +231,7 @@
         self._decider.mailbox.put(update)
 
     def _retire_unlisted(self, update: api.EndpointsUpdated) -> None:
-        """Retire the actors of endpoints that the list no longer offers, or has replaced at their address."""
+        """Retire endpoints that are no longer listed, or whose address now belongs to another endpoint."""
         if update.scope is api.UpdateScope.FAILED:
             return
         ready = {e.address for e in update.endpoints if e.state is api.EndpointState.READY}
@@ -272,28 +274,28 @@
         endpoint.worker.start()
         if address in self._listed_addresses:
             self._endpoints[address] = endpoint
-        else:  # the module has yet to hear that it is no longer offered
+        else:  # the `Sender` does not know yet that it is no longer listed
             self._retire(endpoint)
         return endpoint
 
     def _max_idle_connections(self) -> int:
-        """Connections to one endpoint that may be kept.
+        """How many idle connections to one endpoint may be kept.
 
-        A third of the descriptors is for clients; of the rest, what calls and the node itself do not need is
-        shared out among the endpoints.
+        A third of the descriptors is for clients. Of the rest, what calls and the node itself do not need is
+        divided among the endpoints.
         """
         spare = self._config.sockets - self._max_clients - self._settings.max_calls - RESERVED_DESCRIPTORS
         return max(1, spare // max(1, len(self._listed_addresses)))
 
     def _mailbox_capacity(self, settings: api.Settings) -> int:
-        """What may be under way to the decider at once."""
+        """The largest number of items that may be queued for the decider at once."""
         max_batch = max((kind.max_batch for kind in settings.kinds), default=1)
         return self._max_clients + settings.max_calls * max_batch + 64
 
-    # ---- settings that change ----
+    # ---- state directory and settings ----
 
     def _open_store(self) -> Store:
-        """The lasting folder, less the room of the settings' file where there is one."""
+        """Open the state directory, less the bytes reserved for the settings snapshot if there is one."""
         disk_bytes = self._config.disk_bytes
         if self._config.dynamic_settings is not None:
             from irisstack.dynamic_settings.snapshot import DISK_RESERVE_BYTES
@@ -317,7 +319,7 @@
             raise ConfigError(f"state: {state}: {error.strerror}") from None
 
     def _start_dynamic_settings(self, source: DynamicSettings) -> None:
-        """Take the settings of the life before, and get ready to follow those that come."""
+        """Restore the settings saved by the previous process and prepare to watch for changes."""
         from irisstack.dynamic_settings.snapshot import SnapshotFile
         from irisstack.node.live_settings import LiveSettings
         from irisstack.node.settings_watch import SettingsWatch
@@ -340,15 +342,15 @@
             self._check_settings,
             self._accept_settings,
             self.counters,
-            # Nodes that were given one seed, or none, must not all ask one member at one time.
+            # Nodes with the same seed, or none, must not all query the same member at the same time.
             zlib.crc32(f"{config.name} {format_host_port(config.listen)} {config.seed}".encode()),
         )
 
     def _check_settings(self, items: Mapping[str, Any]) -> "AcceptedSettings":
-        """Check a document while the node serves.
+        """Check a settings document while the node serves.
 
-        The largest takes a tenth of a second. The check reads and computes alone, so it may have a thread of
-        its own, with which the interpreter shares out the time every few milliseconds.
+        The largest document takes 0.1 s. The check only reads and computes, so it runs in a thread of its
+        own; the interpreter switches between threads every few milliseconds.
         """
         assert self._live_settings is not None
         checked = gevent.get_hub().threadpool.apply(self._live_settings.check_without_raising, (items,))
@@ -358,7 +360,7 @@
         return accepted
 
     def _accept_settings(self, revision: int, accepted: "AcceptedSettings") -> None:
-        """Settings that passed the check: the decider has them take effect between two turns."""
+        """Queue validated settings for the decider, which puts them in force between two turns."""
         assert self._live_settings is not None
         self._live_settings.in_force = accepted
         self._decider.mailbox.put(
@@ -368,8 +370,8 @@
     def _apply_settings(self, new_settings: NewSettings) -> api.EndpointsUpdated | None:
         """Put new settings in force in all parts; called by the decider between two turns.
 
-        Nothing here can fail, and all but the endpoints' commands is done before anything else may run.
-        Returns what can now be read of the list.
+        Nothing here can fail. Everything but the commands to the endpoints takes effect before any other
+        greenlet runs. Returns the list update for lines that can be read only under the new settings.
         """
         settings = self._settings = new_settings.settings
         self._intake.update_settings(settings, new_settings.classes, new_settings.tenants)
@@ -390,7 +392,7 @@
 
 
 def main(log_format: str = "json", log_level: str = "info") -> int:
-    """Run a node from the environment; a configuration that cannot be used is one line and code 2."""
+    """Run a node configured by the environment; an invalid configuration gives one line and exit code 2."""
     logs.configure("console" if log_format == "console" else "json", log_level)
     stop, reload = Event(), Event()
     for signal_number, event in ((signal.SIGTERM, stop), (signal.SIGINT, stop), (signal.SIGHUP, reload)):
--- a/irisstack/node/store.py
+++ b/irisstack/node/store.py
@@ -1,11 +1,11 @@
-"""The lasting folder: a log of what the node owes, in segments, that outlives its processes.
+"""The state directory: a write-ahead log of pending messages, in segments, that survives restarts.
 
-Each segment begins with the anchor of the clock that the times in the folder are on. The oldest segment makes
-room by having what is still needed of it written anew; a torn record ends the reading of its segment.
+Each segment begins with the anchor of the clock that the recorded times are based on. The oldest segment is
+freed by writing its live entries again to the newest one. A torn record ends the reading of its segment.
 
-The folder may fail for a while. What has happened to messages that are owed is then kept in memory and
-written first once it can be; what needs its record beforehand (a new message, a call that leaves) is told
-that it has none.
+Writes may fail for a while. Records of events that have already happened are then kept in memory and written
+first once writes succeed again. Where the record must come first (a new message, a call to be sent), the
+caller learns that it was not written.
 """
 
 import time
@@ -20,22 +20,22 @@
 from irisstack.node.segments import SegmentLog
 
 SEGMENT_COUNT = 12
-"""The folder's room is shared out among so many segments."""
+"""The disk limit is divided into this many segments."""
 FREE_SEGMENTS = 3
-"""Segments that are free again once room has been made: one to fill, one to write anew, one in hand."""
+"""Segments kept free: one to be filled, one for rewritten entries and one spare."""
 RESERVED_SEGMENTS = 5
-"""Segments that owed messages may not fill, so that the free ones can always be had."""
+"""Segments that pending messages may not fill, so that `FREE_SEGMENTS` can always be freed."""
 RECORD_OVERHEAD_BYTES = 512
-"""Room counted for a message's notes beside its body."""
+"""Bytes counted for the records of a message, in addition to its body, id and key."""
 FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE = 0.05, 0.4
-"""Seconds from a write that failed to the next one; they double with each failure."""
+"""Seconds from a failed write to the next attempt; doubled with each failure up to the maximum."""
 
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class Entry:
-    """A message that was taken on, as the folder knows it."""
+    """An accepted message as stored. Times are on the record clock, see `record_clock`."""
 
     number: int
     id: str
@@ -48,14 +48,14 @@
     from_dead_sender: bool
     body: bytes
     attempts: int = 0
-    ran_at: float | None = None  # when the first attempt that may have run was sent
-    ran_in: str = ""  # and the zone it was sent to
-    out_at: float | None = None  # when the attempt that is out was sent
-    out_in: str = ""  # and the zone it was sent to
-    result: str = ""  # how it ended, empty while it is owed
-    wait_ms: int = 0
-    told: bool = False  # its notice was taken
-    segment: int = 0
+    ran_at: float | None = None  # send time of the first attempt that may have run
+    ran_in: str = ""  # zone that this attempt was sent to
+    out_at: float | None = None  # send time of the attempt in flight
+    out_in: str = ""  # zone that this attempt was sent to
+    result: str = ""  # final result: delivered, withdrawn, bounced or dead; empty while pending
+    wait_ms: int = 0  # retry-after of a bounced message
+    told: bool = False  # the platform has acknowledged the notice
+    segment: int = 0  # the segment that holds the entry's `taken` record
 
     @property
     def pending(self) -> bool:
@@ -63,11 +63,12 @@
 
     @property
     def notice_pending(self) -> bool:
-        """Whether a notice is owed."""
+        """Whether the platform has yet to acknowledge the notice of the result."""
         return self.result in ("dead", "bounced") and not self.told
 
     @property
     def reserved_bytes(self) -> int:
+        """Bytes that count against the disk limit."""
         return len(self.body) + len(self.id) + len(self.key) + RECORD_OVERHEAD_BYTES
 
 
@@ -75,19 +76,19 @@
 
 
 class Store:
-    """Keeps the folder and, beside it, the entries in memory."""
+    """Keeps entries in memory and their records in the state directory."""
 
     def __init__(self, directory: Path, disk_bytes: int, now: float | None = None) -> None:
-        """`now` is the time on the clock of the records; by default what that clock says."""
+        """`now` is the time on the record clock; by default its current time."""
         self._disk_bytes = disk_bytes
         self._segment_size = disk_bytes // SEGMENT_COUNT
         self._log = SegmentLog(directory)
-        self._unwritten: list[bytes] = []  # records of what has happened, oldest first
-        self._failed_since: float | None = None  # since when the folder cannot be written
+        self._unwritten: list[bytes] = []  # records that could not be written yet, oldest first
+        self._failed_since: float | None = None  # monotonic time of the first failed write
         self._retry_at = 0.0
         self._retry_pause = FIRST_RETRY_PAUSE
         self._reserved_bytes = 0
-        self._finished: list[tuple[float, int]] = []
+        self._finished: list[tuple[float, int]] = []  # heap of deadline and number of finished messages
         self.entries: dict[int, Entry] = {}
         self.by_id: dict[str, int] = {}
         self.next_number = 1
@@ -98,22 +99,22 @@
         self._log.header = records.encode(self.clock.anchor_record())
         if now is None:
             now = self.clock.now()
-        # The process ended with these calls out: they may have run. That goes on record before anything else:
-        # a later attempt, in this life or the next, must not stand for the first.
+        # The previous process ended with these attempts in flight, so they may have run. This is recorded
+        # before anything else: no later attempt, by any process, may count as the first that ran.
         in_flight = [entry for entry in self.entries.values() if entry.out_at is not None]
         end_records = [self.end_attempt(entry.number, entry.attempts - 1, ran=True) for entry in in_flight]
         self._open_first_segment(now)
         self.write(end_records, now)
 
     def _open_first_segment(self, now: float) -> None:
-        """This life's first segment."""
+        """Open the first segment of this process."""
         try:
             self._log.open_next()
             self._free_segments(now)
         except OSError as error:
             self._handle_failure(error)
 
-    # ---- reading ----
+    # ---- reading the log ----
 
     def _replay(self, record: records.Fields, body: bytes, segment: int) -> None:
         match record.pop("t"):
@@ -145,7 +146,7 @@
                     if notified := self.entries.get(number):
                         self._apply_notified(notified)
 
-    # ---- what happens to an entry, first and when read again ----
+    # ---- changes of an entry, made when they happen and again when the log is read ----
 
     @staticmethod
     def _apply_send(entry: Entry, attempt: int, sent_at: float, zone: str) -> None:
@@ -166,14 +167,15 @@
 
     def _apply_notified(self, entry: Entry) -> None:
         entry.told = True
-        heappush(self._finished, (entry.due, entry.number))  # the first time, its notice was still owed
+        # `_drop_earliest` may have taken it off the heap while the notice was pending.
+        heappush(self._finished, (entry.due, entry.number))
 
-    # ---- what others note ----
+    # ---- recording ----
 
     def fits(self, entry: Entry, now: float) -> bool:
-        """Whether one more message finds room beside all that is owed.
+        """Whether there is room for one more message besides all pending ones.
 
-        Those that are over are kept, so as to know them again, as long as nobody needs their room.
+        Finished messages are kept, to recognise repeated submissions, until their room is needed.
         """
         limit = self._disk_bytes - RESERVED_SEGMENTS * self._segment_size - entry.reserved_bytes
         if self._reserved_bytes > limit:
@@ -183,33 +185,33 @@
         return self._reserved_bytes <= limit
 
     def add(self, entry: Entry) -> None:
-        """A message comes in; it is on record once what `taken` returns is written."""
+        """Add a new message; it is recorded once the result of `accepted_record` is written."""
         self.entries[entry.number] = entry
         self.by_id[entry.id] = entry.number
         self._reserved_bytes += entry.reserved_bytes
 
     def accepted_record(self, number: int) -> bytes:
-        """The record of a message that was taken on, as it stands now."""
+        """The `taken` record of an accepted message in its current state."""
         entry = self.entries[number]
         entry.segment = self._log.newest
         return self._encode_entry(entry)
 
     def discard(self, number: int) -> None:
-        """A message that was not taken on after all leaves no trace."""
+        """Remove a message that was not accepted after all."""
         self._remove(self.entries[number])
 
     def end_attempt(self, number: int, attempt: int, ran: bool) -> bytes:
-        """An attempt has ended; returns the record to write."""
+        """Apply the end of an attempt; returns the record to write."""
         self._apply_attempt_end(self.entries[number], attempt, ran)
         return records.encode({"t": "end", "n": number, "a": attempt, "ran": ran})
 
     def finish(self, number: int, result: str, wait_ms: int = 0) -> bytes:
-        """A message is over; returns the record to write."""
+        """Apply the final result of a message; returns the record to write."""
         self._apply_finish(self.entries[number], result, wait_ms)
         return records.encode({"t": "over", "n": number, "result": result, "wait_ms": wait_ms})
 
     def record_send(self, attempts: Iterable[tuple[int, int]], sent_at: float, zone: str = "") -> bool:
-        """A call is about to leave for a zone with these messages; returns whether that is on record."""
+        """Record that a call with these messages is about to be sent; returns whether this was written."""
         known = [(number, attempt) for number, attempt in attempts if number in self.entries]
         if not self._append_all(
             [records.encode({"t": "out", "n": known, "at": sent_at, "in": zone})], sent_at
@@ -220,9 +222,9 @@
         return True
 
     def record_accepted(self, numbers: Collection[int], now: float) -> bool:
-        """Put messages that came in on record; returns whether they are, else they must be refused.
+        """Record new messages; returns whether they were written. If not, they must be rejected.
 
-        A failed write may have left the record of one that is refused: the next one takes it back.
+        A failed write may have left records of rejected messages, so the next write withdraws them.
         """
         if not self.may_write:
             return False
@@ -233,44 +235,47 @@
         return False
 
     def mark_notified(self, numbers: Iterable[int], now: float) -> None:
-        """The platform has taken these notices."""
+        """Record that the platform has acknowledged these notices."""
         known = [number for number in numbers if number in self.entries]
         for number in known:
             self._apply_notified(self.entries[number])
         self.write([records.encode({"t": "told", "n": known})], now)
 
     def drop_expired(self, now: float) -> None:
-        """Forget messages that are over, once their time is up and their notice was taken."""
+        """Remove finished messages whose deadline has passed and whose notice is acknowledged."""
         while self._finished and self._finished[0][0] < now:
             self._drop_earliest()
 
     def _drop_earliest(self) -> None:
-        """Forget the message whose time is up first; one whose notice is owed comes back when it is told."""
+        """Remove the finished message with the earliest deadline.
+
+        One whose notice is pending stays; it returns to the heap when the notice is acknowledged.
+        """
         entry = self.entries.get(heappop(self._finished)[1])
         if entry is not None and not entry.notice_pending:
             self._remove(entry)
 
     def write(self, encoded: list[bytes], now: float) -> bool:
-        """Append records of what has happened; returns whether they are written, else they will be."""
+        """Append records of past events; returns whether they are written. A later write retries the rest."""
         self.enqueue(encoded)
         return self._append_all([], now)
 
     def enqueue(self, encoded: list[bytes]) -> None:
-        """Records of what has happened, to be written before the next that need not wait."""
+        """Queue records of past events, to be written before any later record."""
         self._unwritten += encoded
 
     def flush(self, now: float) -> bool:
-        """Write what could not be written before; returns whether nothing is left of it."""
+        """Write all queued records; returns whether none is left."""
         return self._append_all([], now)
 
     @property
     def failing(self) -> bool:
-        """Whether the last write to the folder failed."""
+        """Whether the last write to the state directory failed."""
         return self._failed_since is not None
 
     @property
     def may_write(self) -> bool:
-        """Whether a write is worth a try: the folder does not fail, or some time has passed since it did."""
+        """Whether a write may be attempted: the last one succeeded, or the retry pause has passed."""
         return not self.failing or time.monotonic() >= self._retry_at
 
     def close(self) -> None:
@@ -285,15 +290,15 @@
         )
 
     def _append_all(self, encoded: list[bytes], now: float) -> bool:
-        """Append what is left unwritten and then these; returns whether all of it is written.
+        """Append the queued records and then these; returns whether all of them are written.
 
-        After a failure a part may be written once more. That does no harm: no call leaves in between.
+        After a failure some records may be written twice. This is harmless, since no call is sent in between.
         """
         if not self.may_write:
             return False
         to_write = [*self._unwritten, *encoded]
         try:
-            # With nothing to write, one that is known already shows whether the folder can be written again.
+            # With nothing to write, a repeated header shows whether writes succeed again.
             self._append_in_segments(to_write or ([self._log.header] if self.failing else []), now)
         except OSError as error:
             self._handle_failure(error)
@@ -303,7 +308,7 @@
         return True
 
     def _append_in_segments(self, encoded: list[bytes], now: float) -> None:
-        """Append records with one write for each segment that they fall into."""
+        """Append records, with one write per segment."""
         batch: list[bytes] = []
         free_bytes = self._segment_size - self._log.newest_size
         for record in encoded:
@@ -331,7 +336,7 @@
             self._failed_since = None
 
     def _free_segments(self, now: float) -> None:
-        """Drop what is no longer needed, then free the oldest segments while too few are free."""
+        """Remove expired entries, then free the oldest segments until `FREE_SEGMENTS` are free."""
         self.drop_expired(now)
         for segment in self._log.older_segments:
             if self._log.used_bytes + FREE_SEGMENTS * self._segment_size <= self._disk_bytes:
--- a/tests/node/test_settings_parts.py
+++ b/tests/node/test_settings_parts.py
@@ -150,7 +150,7 @@
     first, second, third = (f"lanes/{letter * 40000}" for letter in "xyz")
     settings.in_force = settings.check({first: MORE})
     settings.in_force = settings.check({second: MORE})
-    with pytest.raises(SettingsError, match=r"^what went: "):
+    with pytest.raises(SettingsError, match=r"^removed definitions: "):
         settings.check({third: MORE})
     assert settings.check({second: MORE, third: MORE}).classes == {second[6:], third[6:]}
 
