--- a/tests/node/test_record_clock.py
+++ b/tests/node/test_record_clock.py
@@ -18,7 +18,7 @@
     return reading
 
 
-def test_a_life_goes_on_with_the_clock_of_the_one_before(tmp_path: Path, wall_clock: list[float]) -> None:
+def test_a_new_process_resumes_the_record_clock(tmp_path: Path, wall_clock: list[float]) -> None:
     first = Store(tmp_path, 3_000_000)
     wall_clock[0] -= 3600.0
     second = Store(tmp_path, 3_000_000)
@@ -26,7 +26,7 @@
     assert second.clock.now() == pytest.approx(1_000_000.0, abs=5.0)
 
 
-def test_the_anchor_outlasts_every_segment(tmp_path: Path, wall_clock: list[float]) -> None:
+def test_the_anchor_survives_the_removal_of_segments(tmp_path: Path, wall_clock: list[float]) -> None:
     first = Store(tmp_path, 1_000_000)
     for _ in range(60):
         first.write([records.encode({"t": "filler"}, bytes(30_000))], first.clock.now())
@@ -34,7 +34,7 @@
     assert Store(tmp_path, 1_000_000).clock.anchor == first.clock.anchor
 
 
-def test_a_clock_begins_anew_after_a_boot(
+def test_a_boot_starts_a_new_record_clock(
     tmp_path: Path, wall_clock: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first = Store(tmp_path, 3_000_000)
@@ -46,27 +46,27 @@
     monkeypatch.undo()
 
 
-def test_a_boot_that_nobody_names_shows_by_a_monotonic_clock_that_stands_before_the_anchor() -> None:
-    later = time.monotonic() + 1000.0
+def test_without_a_boot_id_a_monotonic_clock_before_the_anchor_shows_a_boot() -> None:
+    in_the_future = time.monotonic() + 1000.0
     assert resume_clock(Anchor("", 5.0, 0.0)).anchor.boot
     boot = resume_clock(None).anchor.boot
     assert resume_clock(Anchor(boot, 5.0, 0.0)).anchor.offset == 5.0
-    assert resume_clock(Anchor(boot, 5.0, later)).anchor.offset != 5.0
+    assert resume_clock(Anchor(boot, 5.0, in_the_future)).anchor.offset != 5.0
 
 
-def test_a_folder_of_an_earlier_release_is_read_by_the_wall_clock(
+def test_a_state_directory_without_an_anchor_uses_the_wall_clock(
     tmp_path: Path, wall_clock: list[float]
 ) -> None:
     """Its segments hold Unix time and no anchor."""
-    old = Store(tmp_path, 3_000_000)
+    previous = Store(tmp_path, 3_000_000)
     path = next(tmp_path.glob("*.log"))
     path.write_bytes(b"")
-    old.close()
-    life = Store(tmp_path, 3_000_000)
-    assert life.clock.now() == pytest.approx(1_000_000.0, abs=5.0)
+    previous.close()
+    store = Store(tmp_path, 3_000_000)
+    assert store.clock.now() == pytest.approx(1_000_000.0, abs=5.0)
 
 
-def test_a_tail_of_zeros_is_torn(tmp_path: Path) -> None:
+def test_trailing_zeros_count_as_a_torn_record(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000)
     path = next(tmp_path.glob("*.log"))
     path.write_bytes(path.read_bytes() + bytes(4096))
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -31,14 +31,14 @@
 """Seconds after a message's time in which its final answer may still come."""
 HARNESS_SLACK = 0.5
 """What the harness may add on a busy machine; every step is far longer."""
-WAIT_FIRST = http_response(429, "Retry-After: 0.800")
+RETRY_AFTER_800_MS = http_response(429, "Retry-After: 0.800")
 
 
 @STEPS
-def test_an_unanswered_call_ends_with_the_message_s_time(tmp_path: Path, step: float) -> None:
-    endpoint = ScriptedEndpoint(WAIT_FIRST, None)
+def test_an_unanswered_call_ends_at_the_deadline(tmp_path: Path, step: float) -> None:
+    endpoint = ScriptedEndpoint(RETRY_AFTER_800_MS, None)
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
-        accepted = time.monotonic()
+        accepted_at = time.monotonic()
         assert node.submit("m1", "unsafe", X_Timeout="2.500").status == 202
         eventually(lambda: endpoint.requests, "the first call")
         rig.set_wall_clock(step)
@@ -46,12 +46,12 @@
         assert float(endpoint.requests[1].headers["x-timeout"]) <= 2.5
         notice = eventually(lambda: platform.notice_for("m1"), "the final answer")
         assert notice["result"] == "dead"
-        assert 2.4 <= time.monotonic() - accepted <= 2.5 + RESULT_SLACK + HARNESS_SLACK
+        assert 2.4 <= time.monotonic() - accepted_at <= 2.5 + RESULT_SLACK + HARNESS_SLACK
 
 
 @STEPS
-def test_a_waiting_message_is_sent_and_delivered_after_the_step(tmp_path: Path, step: float) -> None:
-    endpoint = ScriptedEndpoint(WAIT_FIRST, http_response(200))
+def test_a_queued_message_is_delivered_after_the_step(tmp_path: Path, step: float) -> None:
+    endpoint = ScriptedEndpoint(RETRY_AFTER_800_MS, http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         assert node.submit("m1", "unsafe", X_Timeout="4.000").status == 202
         eventually(lambda: endpoint.requests, "the first call")
@@ -64,26 +64,26 @@
 
 
 @STEPS
-def test_a_restart_delivers_what_has_time_left(tmp_path: Path, step: float) -> None:
-    endpoint = ScriptedEndpoint(WAIT_FIRST, http_response(200))
+def test_a_restarted_node_delivers_before_the_deadline(tmp_path: Path, step: float) -> None:
+    endpoint = ScriptedEndpoint(RETRY_AFTER_800_MS, http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
-        accepted = time.monotonic()
+        accepted_at = time.monotonic()
         assert node.submit("m1", "unsafe", X_Timeout="15.000").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the first call's end")
         node.kill()
         rig.set_wall_clock(step)
         node.start()
         eventually(lambda: node.counters().get("delivered"), "the delivery")
-        left = float(endpoint.requests[-1].headers["x-timeout"])
-        assert left == pytest.approx(15.0 - (time.monotonic() - accepted), abs=0.7)
+        remaining = float(endpoint.requests[-1].headers["x-timeout"])
+        assert remaining == pytest.approx(15.0 - (time.monotonic() - accepted_at), abs=0.7)
         assert not platform.notices
 
 
 @STEPS
-def test_a_restart_ends_a_message_with_its_time(tmp_path: Path, step: float) -> None:
-    endpoint = ScriptedEndpoint(WAIT_FIRST, None)
+def test_a_restarted_node_ends_a_message_at_its_deadline(tmp_path: Path, step: float) -> None:
+    endpoint = ScriptedEndpoint(RETRY_AFTER_800_MS, None)
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
-        accepted = time.monotonic()
+        accepted_at = time.monotonic()
         assert node.submit("m1", "unsafe", X_Timeout="5.000").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the first call's end")
         node.kill()
@@ -91,11 +91,13 @@
         node.start()
         eventually(lambda: len(endpoint.requests) == 2, "the second call")
         assert eventually(lambda: platform.notice_for("m1"), "the final answer")["result"] == "dead"
-        assert 4.9 <= time.monotonic() - accepted <= 5.0 + RESULT_SLACK + HARNESS_SLACK
+        assert 4.9 <= time.monotonic() - accepted_at <= 5.0 + RESULT_SLACK + HARNESS_SLACK
 
 
 @STEPS
-def test_a_restart_repeats_a_keyed_message_within_its_window(tmp_path: Path, step: float) -> None:
+def test_a_restarted_node_retries_a_keyed_message_within_its_dedup_window(
+    tmp_path: Path, step: float
+) -> None:
     endpoint = ScriptedEndpoint(None)
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("m1", "keyed").status == 202
@@ -109,7 +111,9 @@
 
 
 @STEPS
-def test_a_restart_repeats_no_keyed_message_beyond_its_window(tmp_path: Path, step: float) -> None:
+def test_a_restarted_node_does_not_retry_a_keyed_message_after_its_dedup_window(
+    tmp_path: Path, step: float
+) -> None:
     endpoint = ScriptedEndpoint(None)
     with node_with_faults(tmp_path, endpoint, window=1.5) as (node, platform, rig):
         assert node.submit("m1", "keyed").status == 202
@@ -123,7 +127,7 @@
 
 
 @STEPS
-def test_a_message_that_is_over_is_known_again_after_the_step(tmp_path: Path, step: float) -> None:
+def test_a_finished_message_is_recognised_after_the_step(tmp_path: Path, step: float) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("m1", "unsafe").status == 202
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -39,25 +39,25 @@
 from tests.node_support import SETTINGS, http_response, message_request
 
 
-class Source:
+class ChunkedSource:
     """A socket's stand-in that hands out bytes in pieces."""
 
-    def __init__(self, data: bytes, piece: int) -> None:
-        self._data, self._piece = data, piece
+    def __init__(self, data: bytes, chunk_size: int) -> None:
+        self._data, self._chunk_size = data, chunk_size
 
     def recv_into(self, buffer: memoryview, /) -> int:
-        size = min(self._piece, len(buffer), len(self._data))
+        size = min(self._chunk_size, len(buffer), len(self._data))
         buffer[:size], self._data = self._data[:size], self._data[size:]
         return size
 
 
 # ---- configuration ----
 
-LANE = SETTINGS["lanes"][0]
+CLASS = SETTINGS["lanes"][0]
 
 
-def written(folder: Path, **changes: Any) -> dict[str, str]:
-    raw = {
+def write_config(directory: Path, **changes: Any) -> dict[str, str]:
+    config = {
         "name": "n",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
@@ -67,34 +67,36 @@
         "settings": SETTINGS,
         **changes,
     }
-    (folder / "config.json").write_text(json.dumps(raw))
-    return {"RELAY_CONFIG": str(folder / "config.json"), "RELAY_STATE": str(folder)}
+    (directory / "config.json").write_text(json.dumps(config))
+    return {"RELAY_CONFIG": str(directory / "config.json"), "RELAY_STATE": str(directory)}
 
 
-def test_the_environment_stands_above_the_file(tmp_path: Path) -> None:
-    config = load({**written(tmp_path), "RELAY_LISTEN": "127.0.0.9:7070", "RELAY_NAME": "n9"})
+def test_environment_variables_override_the_file(tmp_path: Path) -> None:
+    config = load({**write_config(tmp_path), "RELAY_LISTEN": "127.0.0.9:7070", "RELAY_NAME": "n9"})
     assert (config.name, config.listen, config.discovery) == ("n9", ("127.0.0.9", 7070), ("127.0.0.1", 2))
     assert (config.seed, config.sockets, config.disk_bytes) == (255, 100, 3_000_000)
     assert config.settings.classes[1].effect is api.Effect.KEYED
-    new = config.settings.zone, config.settings.cross_zone_price, config.peers, config.trial
-    assert new == (0, 0.0, (), None)
+    unset_options = config.settings.zone, config.settings.cross_zone_price, config.peers, config.trial
+    assert unset_options == (0, 0.0, (), None)
 
 
-def test_notes_count_only_where_the_other_nodes_places_are_known(tmp_path: Path) -> None:
-    tells = {"settings": {**SETTINGS, "allowed": {**SETTINGS["allowed"], "mayTell": True}}}
-    assert not load(written(tmp_path, **tells)).settings.may_gossip
-    assert load(written(tmp_path, **tells, peers=["127.0.0.1:9"])).settings.may_gossip
+def test_gossip_is_enabled_only_if_peers_are_configured(tmp_path: Path) -> None:
+    gossip_allowed = {"settings": {**SETTINGS, "allowed": {**SETTINGS["allowed"], "mayTell": True}}}
+    assert not load(write_config(tmp_path, **gossip_allowed)).settings.may_gossip
+    assert load(write_config(tmp_path, **gossip_allowed, peers=["127.0.0.1:9"])).settings.may_gossip
 
 
-def test_what_stands_under_watch_is_laid_over_the_settings(tmp_path: Path) -> None:
-    config = load(written(tmp_path, watch={"allowed": {"mayTell": True}, "tariffs": {"crossZone": 0.01}}))
+def test_the_watch_key_overrides_settings_for_the_shadow_sender(tmp_path: Path) -> None:
+    config = load(
+        write_config(tmp_path, watch={"allowed": {"mayTell": True}, "tariffs": {"crossZone": 0.01}})
+    )
     assert config.trial is not None
     assert replace(config.trial, may_gossip=False, cross_zone_price=0.0) == config.settings
     assert (config.trial.may_gossip, config.trial.cross_zone_price) == (True, 0.01)
 
 
-def test_read_anew_the_file_tells_where_discovery_is(tmp_path: Path) -> None:
-    environment = {**written(tmp_path), "RELAY_DISCOVERY": "127.0.0.1:3"}
+def test_a_reload_takes_the_discovery_address_from_the_file(tmp_path: Path) -> None:
+    environment = {**write_config(tmp_path), "RELAY_DISCOVERY": "127.0.0.1:3"}
     assert load(environment).discovery == ("127.0.0.1", 3)
     assert load(environment, reload=True).discovery == ("127.0.0.1", 2)
 
@@ -135,32 +137,32 @@
         ({"peers": ["127.0.0.1:7", "next door"]}, "peers[1]"),
         ({"watch": []}, "watch"),
         ({"watch": {"az": 5}}, "watch.az"),
-        ({"watch": {"lanes": [LANE]}}, "watch.lanes"),
+        ({"watch": {"lanes": [CLASS]}}, "watch.lanes"),
         ({"watch": {"allowed": {"mayTell": "yes"}}}, "watch.allowed.mayTell"),
-        ({"settings": {**SETTINGS, "lanes": [{**LANE, "slo": "x"}]}}, "settings.lanes[0].slo"),
-        ({"settings": {**SETTINGS, "lanes": [{**LANE, "repeat": "x"}]}}, "settings.lanes[0].repeat"),
+        ({"settings": {**SETTINGS, "lanes": [{**CLASS, "slo": "x"}]}}, "settings.lanes[0].slo"),
+        ({"settings": {**SETTINGS, "lanes": [{**CLASS, "repeat": "x"}]}}, "settings.lanes[0].repeat"),
     ],
 )
-def test_a_fault_is_named_by_its_key(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError) as told:
-        load(written(tmp_path, **changes))
-    assert str(told.value).startswith(f"{key}:")
+def test_a_configuration_error_begins_with_its_key(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
+    with pytest.raises(ConfigError) as error:
+        load(write_config(tmp_path, **changes))
+    assert str(error.value).startswith(f"{key}:")
 
 
-def test_a_bad_configuration_is_one_line_and_an_exit_code(tmp_path: Path) -> None:
-    ended = subprocess.run(
+def test_an_invalid_configuration_gives_a_one_line_error_and_an_exit_code(tmp_path: Path) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "irisstack", "run"],
-        env=written(tmp_path, seed="?"),
+        env=write_config(tmp_path, seed="?"),
         capture_output=True,
         text=True,
         check=False,
     )
-    assert ended.returncode != 0
-    assert ended.stderr == "irisstack: seed: a hexadecimal number is due, not '?'\n"
+    assert completed.returncode != 0
+    assert completed.stderr == "irisstack: seed: a hexadecimal number is due, not '?'\n"
 
 
 @pytest.mark.parametrize("environment", [{}, {"RELAY_CONFIG": "/nowhere"}])
-def test_a_file_that_is_not_there_is_named(environment: dict[str, str]) -> None:
+def test_a_missing_file_is_reported(environment: dict[str, str]) -> None:
     with pytest.raises(ConfigError, match="RELAY_CONFIG"):
         load(environment)
 
@@ -168,52 +170,52 @@
 # ---- buffer and HTTP ----
 
 
-def test_a_buffer_grows_and_hands_out_what_came_in_order() -> None:
+def test_a_buffer_grows_and_returns_bytes_in_order() -> None:
     data = bytes(i % 251 for i in range(5 * INITIAL_SIZE))
-    source, buffer, taken = Source(data, 1000), Buffer(), b""
+    source, buffer, taken = ChunkedSource(data, 1000), Buffer(), b""
     while buffer.receive(source):
         if len(buffer) > INITIAL_SIZE:
             taken += buffer.take(700)
     assert taken + buffer.take(len(buffer)) == data
 
 
-@pytest.mark.parametrize("piece", [1, 7, 4096])
-def test_a_request_is_the_same_however_it_is_cut(piece: int) -> None:
+@pytest.mark.parametrize("chunk_size", [1, 7, 4096])
+def test_a_request_is_parsed_alike_for_any_chunk_size(chunk_size: int) -> None:
     data = http.request("POST", "/a?b=1", "node", [("X-One", "1")], b"\r\n\r\nbody")
-    source, buffer, reader = Source(data * 2, piece), Buffer(), http.RequestReader()
+    source, buffer, reader = ChunkedSource(data * 2, chunk_size), Buffer(), http.RequestReader()
     found = []
     while buffer.receive(source):
-        while (whole := reader.advance(buffer)) is not None:
-            found.append((whole.method, whole.path, whole.headers["x-one"], bytes(whole.body)))
+        while (message := reader.advance(buffer)) is not None:
+            found.append((message.method, message.path, message.headers["x-one"], bytes(message.body)))
     assert found == [("POST", "/a?b=1", "1", b"\r\n\r\nbody")] * 2
 
 
-def answer_of(data: bytes) -> http.Message | None:
-    source, buffer, reader = Source(data, 5), Buffer(), http.ResponseReader()
+def read_answer(data: bytes) -> http.Message | None:
+    source, buffer, reader = ChunkedSource(data, 5), Buffer(), http.ResponseReader()
     while buffer.receive(source):
-        if (whole := reader.advance(buffer)) is not None:
-            return whole
+        if (message := reader.advance(buffer)) is not None:
+            return message
     return reader.finish_at_eof()
 
 
-def test_answers_with_chunks_with_no_length_and_after_an_interim_one() -> None:
+def test_answers_that_are_chunked_without_length_or_after_an_interim_answer() -> None:
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\nb\n\r\n1\r\nc\r\n0\r\n\r\n"
-    assert (whole := answer_of(chunked)) is not None
-    assert bytes(whole.body) == b"a\nb\nc"
-    assert (whole := answer_of(b"HTTP/1.1 200 OK\r\n\r\nto the end")) is not None
-    assert bytes(whole.body) == b"to the end"
-    assert not whole.keep_alive
+    assert (message := read_answer(chunked)) is not None
+    assert bytes(message.body) == b"a\nb\nc"
+    assert (message := read_answer(b"HTTP/1.1 200 OK\r\n\r\nto the end")) is not None
+    assert bytes(message.body) == b"to the end"
+    assert not message.keep_alive
     interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-    assert (whole := answer_of(interim)) is not None
-    assert whole.status == 503
-    assert answer_of(chunked[:-3]) is None
+    assert (message := read_answer(interim)) is not None
+    assert message.status == 503
+    assert read_answer(chunked[:-3]) is None
 
 
 # ---- results ----
 
 
 @pytest.mark.parametrize(
-    ("reached", "ending", "outcome"),
+    ("reached", "reason", "outcome"),
     [
         (Reached.NOTHING, EndReason.GIVEN_UP, api.Outcome.CONNECT_FAILED),
         (Reached.CONNECTED, EndReason.BROKEN, api.Outcome.CONNECT_FAILED),
@@ -224,49 +226,49 @@
         (Reached.WRITTEN, EndReason.CALLED_OFF, api.Outcome.CANCELLED),
     ],
 )
-def test_whether_it_may_have_run_is_told_by_the_last_byte(
-    reached: Reached, ending: EndReason, outcome: api.Outcome
+def test_an_attempt_may_have_run_only_if_its_last_byte_was_written(
+    reached: Reached, reason: EndReason, outcome: api.Outcome
 ) -> None:
-    assert unanswered_result(reached, ending).outcome is outcome
+    assert unanswered_result(reached, reason).outcome is outcome
 
 
-def said(status: int, body: str = "", **headers: str) -> http.Message:
+def make_answer(status: int, body: str = "", **headers: str) -> http.Message:
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return http.Message(named, bytearray(body.encode()), status=status)
 
 
 @pytest.mark.parametrize(
-    ("answer", "outcome", "over", "wait"),
+    ("answer", "outcome", "final", "retry_after"),
     [
-        (said(200), api.Outcome.OK, True, None),
-        (said(500), api.Outcome.ERROR, False, None),
-        (said(418), api.Outcome.ERROR, False, None),
-        (said(429, retry_after="1.25"), api.Outcome.FULL, False, 1.25),
-        (said(429, retry_after="later"), api.Outcome.FULL, False, None),
-        (said(503), api.Outcome.FULL, False, None),
-        (said(503, x_line_busy="1"), api.Outcome.NOT_SENT, False, None),
-        (said(504), api.Outcome.NOT_SENT, False, None),
-        (said(410), api.Outcome.NOT_SENT, True, None),
+        (make_answer(200), api.Outcome.OK, True, None),
+        (make_answer(500), api.Outcome.ERROR, False, None),
+        (make_answer(418), api.Outcome.ERROR, False, None),
+        (make_answer(429, retry_after="1.25"), api.Outcome.FULL, False, 1.25),
+        (make_answer(429, retry_after="later"), api.Outcome.FULL, False, None),
+        (make_answer(503), api.Outcome.FULL, False, None),
+        (make_answer(503, x_line_busy="1"), api.Outcome.NOT_SENT, False, None),
+        (make_answer(504), api.Outcome.NOT_SENT, False, None),
+        (make_answer(410), api.Outcome.NOT_SENT, True, None),
     ],
 )
 def test_the_outcome_of_an_answer(
-    answer: http.Message, outcome: api.Outcome, over: bool, wait: float | None
+    answer: http.Message, outcome: api.Outcome, final: bool, retry_after: float | None
 ) -> None:
     result = answer_result(answer, ())
-    assert (result.outcome, result.final, result.retry_after) == (outcome, over, wait)
+    assert (result.outcome, result.final, result.retry_after) == (outcome, final, retry_after)
 
 
-def test_a_report_is_read_in_the_order_of_the_settings() -> None:
+def test_a_load_report_is_read_in_the_order_of_the_settings() -> None:
     fields = ("x0", "x1")
-    assert answer_result(said(200, x_server_load="x1=25,x0=0.4"), fields).report == (0.4, 25.0)
-    assert answer_result(said(200, x_server_load="x1=25"), fields).report == (0.0, 25.0)
-    assert answer_result(said(200, x_server_load="nonsense"), fields).report == ()
-    assert answer_result(said(200, x_server_load="x0=nan,x1=inf"), fields).report == ()
+    assert answer_result(make_answer(200, x_server_load="x1=25,x0=0.4"), fields).report == (0.4, 25.0)
+    assert answer_result(make_answer(200, x_server_load="x1=25"), fields).report == (0.0, 25.0)
+    assert answer_result(make_answer(200, x_server_load="nonsense"), fields).report == ()
+    assert answer_result(make_answer(200, x_server_load="x0=nan,x1=inf"), fields).report == ()
 
 
-def test_each_message_of_a_shared_call_has_its_end() -> None:
+def test_each_message_of_a_batch_call_has_its_own_result() -> None:
     body = "a accepted\r\nb fault\r\nc deferred\r\nd expired\r\ne no_more\r\nf nonsense\r\n"
-    results = batch_results(said(200, body, retry_after="2"), ["a", "b", "c", "d", "e", "f", "g"], ())
+    results = batch_results(make_answer(200, body, retry_after="2"), ["a", "b", "c", "d", "e", "f", "g"], ())
     assert [(r.outcome.name, r.final) for r in results.values()] == [
         ("OK", True),
         ("ERROR", False),
@@ -277,8 +279,12 @@
         ("RESET", False),
     ]
     assert {r.retry_after for r in results.values()} == {2.0}
-    assert {r.outcome for r in batch_results(said(413), ["a", "b"], ()).values()} == {api.Outcome.NOT_SENT}
-    assert {r.outcome for r in batch_results(said(500), ["a", "b"], ()).values()} == {api.Outcome.ERROR}
+    assert {r.outcome for r in batch_results(make_answer(413), ["a", "b"], ()).values()} == {
+        api.Outcome.NOT_SENT
+    }
+    assert {r.outcome for r in batch_results(make_answer(500), ["a", "b"], ()).values()} == {
+        api.Outcome.ERROR
+    }
 
 
 # ---- the lasting folder ----
@@ -293,7 +299,7 @@
     store.write([store.accepted_record(number)], 1000.0)
 
 
-def test_what_is_known_of_a_message_comes_back(tmp_path: Path) -> None:
+def test_the_state_of_messages_survives_a_restart(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
     for number in range(1, 7):
         add_message(store, number)
@@ -310,40 +316,40 @@
     )
     store.record_send([(1, 1)], 1003.0)
     store.mark_notified([6], 1004.0)
-    again = Store(tmp_path, 3_000_000, 1005.0).entries
-    assert [(again[n].attempts, again[n].ran_at, again[n].pending) for n in (1, 2, 3)] == [
+    reopened = Store(tmp_path, 3_000_000, 1005.0).entries
+    assert [(reopened[n].attempts, reopened[n].ran_at, reopened[n].pending) for n in (1, 2, 3)] == [
         (2, 1001.0, True),
         (1, None, True),
         (1, 1001.0, True),
     ]
-    assert [(again[n].result, again[n].wait_ms, again[n].notice_pending) for n in (4, 5, 6)] == [
+    assert [(reopened[n].result, reopened[n].wait_ms, reopened[n].notice_pending) for n in (4, 5, 6)] == [
         ("delivered", 0, False),
         ("bounced", 700, True),
         ("dead", 0, False),
     ]
-    assert again[1].body == b"body"
-    assert again[4].body == b""
+    assert reopened[1].body == b"body"
+    assert reopened[4].body == b""
 
 
 @pytest.mark.parametrize("cut", [1, 10, 100])
-def test_a_torn_record_is_dropped_and_what_came_before_holds(tmp_path: Path, cut: int) -> None:
+def test_a_torn_record_is_dropped_and_earlier_ones_are_kept(tmp_path: Path, cut: int) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
     add_message(store, 1)
     add_message(store, 2)
     store.close()
     (path,) = tmp_path.iterdir()
     path.write_bytes(path.read_bytes()[:-cut])
-    again = Store(tmp_path, 3_000_000, 1000.0)
-    assert list(again.entries) == [1]
-    add_message(again, 2)
+    reopened = Store(tmp_path, 3_000_000, 1000.0)
+    assert list(reopened.entries) == [1]
+    add_message(reopened, 2)
     assert list(Store(tmp_path, 3_000_000, 1000.0).entries) == [1, 2]
 
 
-def test_the_folder_stays_within_its_limit_and_loses_nothing_owed(tmp_path: Path) -> None:
-    disk = 1_000_000
-    store, now = Store(tmp_path, disk, 1000.0), 1000.0
-    keep = [1, 2, 3]
-    for number in keep:
+def test_the_state_directory_stays_within_its_limit_and_keeps_pending_messages(tmp_path: Path) -> None:
+    disk_bytes = 1_000_000
+    store, now = Store(tmp_path, disk_bytes, 1000.0), 1000.0
+    pending = [1, 2, 3]
+    for number in pending:
         add_message(store, number, due=1e9, body=bytes([number]) * 30_000)
     for number in range(10, 400):
         now += 1.0
@@ -351,29 +357,29 @@
         store.write([store.accepted_record(number)], now)
         store.record_send([(number, 0)], now)
         store.write([store.end_attempt(number, 0, ran=True), store.finish(number, "delivered")], now)
-        assert sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()) <= disk
+        assert sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()) <= disk_bytes
     assert len(store.entries) < 200
-    again = Store(tmp_path, disk, now)
-    assert {n: again.entries[n].body for n in keep} == {n: bytes([n]) * 30_000 for n in keep}
-    assert all(again.entries[n].pending for n in keep)
+    reopened = Store(tmp_path, disk_bytes, now)
+    assert {n: reopened.entries[n].body for n in pending} == {n: bytes([n]) * 30_000 for n in pending}
+    assert all(reopened.entries[n].pending for n in pending)
 
 
-def test_many_large_messages_at_once_stay_within_the_limit(tmp_path: Path) -> None:
-    disk = 3_000_000
-    store, taken = Store(tmp_path, disk, 1000.0), []
+def test_many_large_messages_at_once_stay_within_the_disk_limit(tmp_path: Path) -> None:
+    disk_bytes = 3_000_000
+    store, accepted = Store(tmp_path, disk_bytes, 1000.0), []
     for number in range(1, 100):
-        new = make_entry(number, 2000.0, bytes(http.MAX_BODY))
-        if not store.fits(new, 1000.0):
+        entry = make_entry(number, 2000.0, bytes(http.MAX_BODY))
+        if not store.fits(entry, 1000.0):
             break
-        store.add(new)
-        taken.append(number)
-    store.write([store.accepted_record(number) for number in taken], 1000.0)
-    assert len(taken) > 10
-    assert sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()) <= disk
-    assert list(Store(tmp_path, disk, 1000.0).entries) == taken
+        store.add(entry)
+        accepted.append(number)
+    store.write([store.accepted_record(number) for number in accepted], 1000.0)
+    assert len(accepted) > 10
+    assert sum(-(-path.stat().st_size // 512) * 512 for path in tmp_path.iterdir()) <= disk_bytes
+    assert list(Store(tmp_path, disk_bytes, 1000.0).entries) == accepted
 
 
-def test_a_folder_full_of_what_is_owed_has_room_again_once_that_is_over(tmp_path: Path) -> None:
+def test_a_full_state_directory_has_room_again_once_notices_are_acknowledged(tmp_path: Path) -> None:
     store, number = Store(tmp_path, 1_000_000, 1000.0), 1
     while store.fits(make_entry(number, 1010.0, bytes(100)), 1000.0):
         store.add(make_entry(number, 1010.0, bytes(100)))
@@ -385,7 +391,7 @@
     assert store.entries == {}
 
 
-def test_what_is_over_and_told_makes_room_for_what_comes(tmp_path: Path) -> None:
+def test_finished_messages_make_room_for_new_ones(tmp_path: Path) -> None:
     store = Store(tmp_path, 1_000_000, 1000.0)
     for number in range(1, 5000):
         assert store.fits(make_entry(number, 1010.0 + number), 1000.0)
@@ -395,7 +401,7 @@
     assert 1 not in store.entries
 
 
-def test_a_message_that_was_refused_leaves_no_trace(tmp_path: Path) -> None:
+def test_a_discarded_message_is_not_recorded(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
     store.add(make_entry(1, 2000.0))
     store.discard(1)
@@ -406,11 +412,11 @@
 # ---- endpoints ----
 
 
-def lone_endpoint(peer: tuple[str, int], ended: list[AttemptResult], store: Store) -> Endpoint:
+def make_endpoint(peer: tuple[str, int], results: list[AttemptResult], store: Store) -> Endpoint:
     return Endpoint(
         (bytes([127, 0, 0, 1]), 1),
         peer,
-        ended.append,
+        results.append,
         store,
         Counters(),
         connect_timeout=5.0,
@@ -430,45 +436,47 @@
         ([WithholdCalls(time.monotonic() - 1.0)], api.Outcome.TIMEOUT, Reached.WRITTEN),
     ],
 )
-def test_a_call_that_has_not_left_is_held_back_by_a_drain_and_by_a_wait(
+def test_an_unsent_call_is_withheld_after_a_retirement_and_after_a_retry_after(
     tmp_path: Path, commands: list[Retire | WithholdCalls], outcome: api.Outcome, reached: Reached
 ) -> None:
-    ended: list[AttemptResult] = []
+    results: list[AttemptResult] = []
     store = Store(tmp_path, 3_000_000, 1000.0)
     add_message(store, 1)
     with socket.create_server(("127.0.0.1", 0)) as server:
-        endpoint = lone_endpoint(server.getsockname(), ended, store)
+        endpoint = make_endpoint(server.getsockname(), results, store)
         endpoint.worker.start()
         for command in commands:
             endpoint.mailbox.put(command)
-        give_up = time.monotonic() + 0.5
-        endpoint.mailbox.put(Call([OutgoingMessage(1, 0, "m1", "", b"body", give_up, give_up)], 1001.0))
-        while not ended:
+        deadline = time.monotonic() + 0.5
+        endpoint.mailbox.put(Call([OutgoingMessage(1, 0, "m1", "", b"body", deadline, deadline)], 1001.0))
+        while not results:
             gevent.sleep(0.01)
         endpoint.worker.kill()
-    assert (ended[0].result.outcome, ended[0].result.reached) == (outcome, reached)
+    assert (results[0].result.outcome, results[0].result.reached) == (outcome, reached)
     assert (store.entries[1].out_at is None) == (reached is Reached.CONNECTED)
 
 
-def test_a_shared_call_ends_whole_and_with_the_first_message_that_is_out_of_time(tmp_path: Path) -> None:
+def test_a_batch_call_ends_as_a_whole_at_its_first_deadline(tmp_path: Path) -> None:
     """One that merely wants to go again does not end it; an attempt that was told its end has no call out."""
-    ended: list[AttemptResult] = []
-    came: list[bytes] = []  # what the endpoint had read by the first end that was told, b"" for its own end
+    results: list[AttemptResult] = []
+    received: list[
+        bytes
+    ] = []  # what the endpoint had read by the first end that was told, b"" for its own end
     store = Store(tmp_path, 3_000_000, 1000.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
-        endpoint = lone_endpoint(server.getsockname(), ended, store)
+        endpoint = make_endpoint(server.getsockname(), results, store)
 
-        def told(end: AttemptResult) -> None:
+        def post_result(result: AttemptResult) -> None:
             """At the moment of the first end, the call is no longer out."""
-            if not came:
+            if not received:
                 connection, _ = server.accept()
                 connection.settimeout(3.0)
                 with connection, suppress(TimeoutError):
-                    while not came or came[-1]:
-                        came.append(connection.recv(65536))
-            ended.append(end)
+                    while not received or received[-1]:
+                        received.append(connection.recv(65536))
+            results.append(result)
 
-        endpoint._post = told
+        endpoint._post = post_result
         endpoint.worker.start()
         now = time.monotonic()
         times = {
@@ -482,28 +490,28 @@
                 1001.0,
             )
         )
-        while len(ended) < 3:
+        while len(results) < 3:
             gevent.sleep(0.01)
         endpoint.worker.kill()
-    assert {end.number: end.result for end in ended} == dict.fromkeys(
+    assert {result.number: result.result for result in results} == dict.fromkeys(
         range(3), unanswered_result(Reached.WRITTEN, EndReason.GIVEN_UP)
     )
     assert time.monotonic() >= times["out-of-time"][0]  # not before: the hurried one alone ended nothing
-    assert b"patient" in b"".join(came)
-    assert came[-1] == b""
+    assert b"patient" in b"".join(received)
+    assert received[-1] == b""
 
 
-def test_a_shared_call_outlasts_a_message_that_would_go_again(tmp_path: Path) -> None:
+def test_a_batch_call_does_not_end_for_one_message_that_would_be_retried(tmp_path: Path) -> None:
     """Given up for the first that would, it took the unsafe ones beside it down, whose answer was to come."""
-    ended: list[AttemptResult] = []
+    results: list[AttemptResult] = []
     with socket.create_server(("127.0.0.1", 0)) as server:
-        endpoint = lone_endpoint(server.getsockname(), ended, Store(tmp_path, 3_000_000, 1000.0))
+        endpoint = make_endpoint(server.getsockname(), results, Store(tmp_path, 3_000_000, 1000.0))
         endpoint.worker.start()
-        hurried = time.monotonic() + 0.1
+        first_give_up = time.monotonic() + 0.1
         endpoint.mailbox.put(
             Call(
                 [
-                    OutgoingMessage(0, 0, "hurried", "", b"", hurried, 1e9),
+                    OutgoingMessage(0, 0, "hurried", "", b"", first_give_up, 1e9),
                     OutgoingMessage(1, 0, "patient", "", b"", 1e9, 1e9),
                 ],
                 1001.0,
@@ -511,20 +519,23 @@
         )
         connection, _ = gevent.get_hub().threadpool.apply(server.accept)
         with connection:
-            while time.monotonic() < hurried + 0.1:
+            while time.monotonic() < first_give_up + 0.1:
                 gevent.sleep(0.01)
             connection.sendall(http_response(200, body="hurried accepted\r\npatient accepted\r\n"))
-            while len(ended) < 2:
+            while len(results) < 2:
                 gevent.sleep(0.01)
         endpoint.worker.kill()
-    assert {end.number: end.result.outcome for end in ended} == {0: api.Outcome.OK, 1: api.Outcome.OK}
+    assert {result.number: result.result.outcome for result in results} == {
+        0: api.Outcome.OK,
+        1: api.Outcome.OK,
+    }
 
 
-def test_a_call_whose_time_has_passed_does_not_leave_on_a_kept_connection(tmp_path: Path) -> None:
+def test_a_call_past_its_deadline_is_not_sent_on_a_reused_connection(tmp_path: Path) -> None:
     """As after a standstill of the node between the decision and the write."""
-    ended: list[AttemptResult] = []
+    results: list[AttemptResult] = []
     with socket.create_server(("127.0.0.1", 0)) as server:
-        endpoint = lone_endpoint(server.getsockname(), ended, Store(tmp_path, 3_000_000, 1000.0))
+        endpoint = make_endpoint(server.getsockname(), results, Store(tmp_path, 3_000_000, 1000.0))
         endpoint.worker.start()
         endpoint.mailbox.put(Call([OutgoingMessage(1, 0, "m1", "", b"", 1e9, 1e9)], 1001.0))
         while not endpoint._calls:
@@ -536,63 +547,63 @@
                 gevent.sleep(0.01)
             past = time.monotonic() - 1.0
             endpoint.mailbox.put(Call([OutgoingMessage(2, 0, "m2", "", b"", past, past)], 1001.0))
-            while len(ended) < 2:
+            while len(results) < 2:
                 gevent.sleep(0.01)
             endpoint.worker.kill()
             assert b"m2" not in connection.recv(65536)
-    assert ended[1].result == unanswered_result(Reached.CONNECTED, EndReason.GIVEN_UP)
+    assert results[1].result == unanswered_result(Reached.CONNECTED, EndReason.GIVEN_UP)
 
 
-@pytest.mark.parametrize("call_off", [False, True])
-def test_an_answer_that_came_during_a_standstill_counts(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call_off: bool
+@pytest.mark.parametrize("cancelled", [False, True])
+def test_an_answer_received_while_the_process_was_stalled_counts(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cancelled: bool
 ) -> None:
     """Time-outs and commands that fell due meanwhile come first, and must not hide what has come."""
-    ended: list[AttemptResult] = []
-    receive, end = Buffer.receive, time.monotonic() + 0.3
+    results: list[AttemptResult] = []
+    receive, deadline = Buffer.receive, time.monotonic() + 0.3
     with socket.create_server(("127.0.0.1", 0)) as server:
-        endpoint = lone_endpoint(server.getsockname(), ended, Store(tmp_path, 3_000_000, 1000.0))
+        endpoint = make_endpoint(server.getsockname(), results, Store(tmp_path, 3_000_000, 1000.0))
 
-        def stand_still(buffer: Buffer, source: Any) -> int:
+        def stall(buffer: Buffer, source: Any) -> int:
             """The answer comes and the time passes before this process looks, at its clock first."""
             monkeypatch.setattr(Buffer, "receive", receive)
             connection, _ = server.accept()
             with connection:
                 connection.recv(65536)
                 connection.sendall(http_response(200))
-            if call_off:
+            if cancelled:
                 endpoint.mailbox.put(CancelAttempt(1, 0))
                 gevent.sleep(1e9)
-            time.sleep(max(0.0, end - time.monotonic()))
+            time.sleep(max(0.0, deadline - time.monotonic()))
             raise TimeoutError
 
-        monkeypatch.setattr(Buffer, "receive", stand_still)
+        monkeypatch.setattr(Buffer, "receive", stall)
         endpoint.worker.start()
         endpoint.mailbox.put(
-            Call([OutgoingMessage(1, 0, "m1", "", b"", 1e9 if call_off else end, 1e9)], 1001.0)
+            Call([OutgoingMessage(1, 0, "m1", "", b"", 1e9 if cancelled else deadline, 1e9)], 1001.0)
         )
-        while not ended:
+        while not results:
             gevent.sleep(0.01)
         endpoint.worker.kill()
-    assert ended[0].result.outcome is api.Outcome.OK
+    assert results[0].result.outcome is api.Outcome.OK
 
 
-def test_a_call_called_off_before_it_began_never_ran(tmp_path: Path) -> None:
-    ended: list[AttemptResult] = []
+def test_a_call_cancelled_before_it_began_did_not_run(tmp_path: Path) -> None:
+    results: list[AttemptResult] = []
     store = Store(tmp_path, 3_000_000, 1000.0)
-    endpoint = lone_endpoint(("127.0.0.1", 1), ended, store)
+    endpoint = make_endpoint(("127.0.0.1", 1), results, store)
     endpoint.mailbox.put(Call([OutgoingMessage(1, 0, "m1", "", b"", 1e9, 1e9)], 1001.0))
     endpoint.mailbox.put(CancelAttempt(1, 0))
     endpoint.worker.start()
-    while not ended:
+    while not results:
         gevent.sleep(0.01)
-    assert ended[0].result == unanswered_result(Reached.NOTHING, EndReason.CALLED_OFF)
+    assert results[0].result == unanswered_result(Reached.NOTHING, EndReason.CALLED_OFF)
 
 
 # ---- the list ----
 
 
-def member(number: int, **changes: Any) -> dict[str, Any]:
+def make_member(number: int, **changes: Any) -> dict[str, Any]:
     return {
         "id": f"s{number}",
         "host_port": f"10.0.0.{number}:7070",
@@ -606,19 +617,19 @@
     }
 
 
-def test_the_list_is_read_and_a_bad_line_costs_only_itself() -> None:
+def test_an_invalid_list_line_is_skipped_alone() -> None:
     reader = ListReader(read(Reader(SETTINGS)))
     update = reader.parse_update(
         {
             "revision": 7,
             "complete": True,
             "members": [
-                member(1),
+                make_member(1),
                 {"id": "x"},
-                member(2, flavor="unheard of"),
+                make_member(2, flavor="unheard of"),
                 5,
-                member(3, host_port="here"),
-                member(4, phase="DRAINING", up_since_ms=1000.0 * wall_clock()),
+                make_member(3, host_port="here"),
+                make_member(4, phase="DRAINING", up_since_ms=1000.0 * wall_clock()),
             ],
         }
     )
@@ -629,54 +640,56 @@
     assert last.added_at is not None
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WHOLE = json.dumps({"revision": 9, "complete": True, "members": [member(1)]}).encode() + b"\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+COMPLETE_LIST = json.dumps({"revision": 9, "complete": True, "members": [make_member(1)]}).encode() + b"\n"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         b"",
-        HEAD,
-        HEAD + b"%x\r\n" % len(WHOLE) + WHOLE[:20],
-        HEAD + b"3\r\n{]\n\r\n",
-        HEAD + b"3\r\n[]\n\r\n",
-        HEAD + b"zz\r\n",
+        RESPONSE_HEAD,
+        RESPONSE_HEAD + b"%x\r\n" % len(COMPLETE_LIST) + COMPLETE_LIST[:20],
+        RESPONSE_HEAD + b"3\r\n{]\n\r\n",
+        RESPONSE_HEAD + b"3\r\n[]\n\r\n",
+        RESPONSE_HEAD + b"zz\r\n",
         http_response(503),
         http_response(200, body="{}"),
         b"\x00" * 64,
-        HEAD + b"20\r\n" + b'{"revision":1e999,"members":[]}\n',
+        RESPONSE_HEAD + b"20\r\n" + b'{"revision":1e999,"members":[]}\n',
     ],
     ids=range(10),
 )
-def test_a_watch_that_breaks_or_is_spoilt_is_told_once_and_the_next_one_is_followed(spoilt: bytes) -> None:
-    told: list[api.EndpointsUpdated] = []
+def test_a_broken_or_invalid_watch_is_reported_once_and_the_next_one_is_followed(invalid: bytes) -> None:
+    updates: list[api.EndpointsUpdated] = []
     with gevent.Timeout(10.0), gevent_socket.socket() as server:
         server.bind(("127.0.0.1", 0))
         server.listen()
-        discovery = Discovery(server.getsockname(), ListReader(read(Reader(SETTINGS))), told.append, 4, False)
+        discovery = Discovery(
+            server.getsockname(), ListReader(read(Reader(SETTINGS))), updates.append, 4, False
+        )
         worker = gevent.spawn(discovery.run)
-        for answer in (spoilt, HEAD + b"%x\r\n" % len(WHOLE) + WHOLE + b"\r\n"):
-            before = len(told)
+        for answer in (invalid, RESPONSE_HEAD + b"%x\r\n" % len(COMPLETE_LIST) + COMPLETE_LIST + b"\r\n"):
+            before = len(updates)
             discovery.mailbox.put(api.Subscribe(True))
             connection, _ = server.accept()
             assert b"from=4 " in connection.recv(65536)  # nothing spoilt was taken for a revision
             connection.sendall(answer)
-            if answer is spoilt:
+            if answer is invalid:
                 connection.close()
-            while len(told) == before:
+            while len(updates) == before:
                 gevent.sleep(0.01)
         worker.kill()
         connection.close()
-    assert [update.scope for update in told[:2]] == [api.UpdateScope.FAILED, api.UpdateScope.FULL]
-    assert (told[1].version, len(told[1].endpoints)) == (9, 1)
+    assert [update.scope for update in updates[:2]] == [api.UpdateScope.FAILED, api.UpdateScope.FULL]
+    assert (updates[1].version, len(updates[1].endpoints)) == (9, 1)
 
 
-def test_an_endpoint_that_moved_is_gone_from_its_old_address() -> None:
+def test_an_endpoint_with_a_new_address_is_gone_from_its_old_one() -> None:
     reader = ListReader(read(Reader(SETTINGS)))
-    reader.parse_update({"revision": 1, "complete": True, "members": [member(1)]})
+    reader.parse_update({"revision": 1, "complete": True, "members": [make_member(1)]})
     update = reader.parse_update(
-        {"revision": 2, "complete": False, "members": [member(1, host_port="10.0.0.9:1")]}
+        {"revision": 2, "complete": False, "members": [make_member(1, host_port="10.0.0.9:1")]}
     )
     assert [(e.address[0][3], e.state) for e in update.endpoints] == [
         (1, api.EndpointState.GONE),
@@ -688,25 +701,28 @@
     assert [(e.address[0][3], e.state) for e in gone.endpoints] == [(9, api.EndpointState.GONE)]
 
 
-def test_an_address_under_a_new_id_is_another_endpoint() -> None:
+def test_a_new_id_at_the_same_address_is_another_endpoint() -> None:
     """Told in any order, the endpoint that went does not take the one in its place with it."""
-    reader, place = ListReader(read(Reader(SETTINGS))), "10.0.0.1:7070"
+    reader, address = ListReader(read(Reader(SETTINGS))), "10.0.0.1:7070"
     states = api.EndpointState
 
-    def told(*members: dict[str, Any], complete: bool = False) -> list[api.EndpointState]:
+    def read_states(*members: dict[str, Any], complete: bool = False) -> list[api.EndpointState]:
         update = reader.parse_update({"revision": 1, "complete": complete, "members": list(members)})
         return [endpoint.state for endpoint in update.endpoints]
 
-    assert told(member(1), complete=True) == [states.READY]
-    assert told(member(2, host_port=place), member(1, phase="DELETED")) == [states.GONE, states.READY]
-    assert told(member(2, host_port=place, phase="DRAINING")) == [states.DRAINING]
-    assert told(member(3, host_port=place), complete=True) == [states.GONE, states.READY]
-    assert told(member(2, host_port=place, phase="DELETED")) == []
-    assert told(member(3, host_port="10.0.0.5:7070")) == [states.GONE, states.READY]
-    assert told(member(4, host_port=place)) == [states.READY]
+    assert read_states(make_member(1), complete=True) == [states.READY]
+    assert read_states(make_member(2, host_port=address), make_member(1, phase="DELETED")) == [
+        states.GONE,
+        states.READY,
+    ]
+    assert read_states(make_member(2, host_port=address, phase="DRAINING")) == [states.DRAINING]
+    assert read_states(make_member(3, host_port=address), complete=True) == [states.GONE, states.READY]
+    assert read_states(make_member(2, host_port=address, phase="DELETED")) == []
+    assert read_states(make_member(3, host_port="10.0.0.5:7070")) == [states.GONE, states.READY]
+    assert read_states(make_member(4, host_port=address)) == [states.READY]
 
 
-def test_a_destination_is_known_for_a_while_after_its_last_endpoint_has_gone(tmp_path: Path) -> None:
+def test_a_destination_stays_known_for_a_while_after_its_last_endpoint_is_gone(tmp_path: Path) -> None:
     settings = read(Reader(SETTINGS))
     decider = Decider(
         settings,
@@ -720,21 +736,21 @@
     )
     reader = ListReader(settings)
 
-    def learn(now: float, complete: bool, *members: dict[str, Any]) -> set[int]:
+    def apply_update(now: float, complete: bool, *members: dict[str, Any]) -> set[int]:
         decider._apply_update(
             reader.parse_update({"revision": 1, "complete": complete, "members": list(members)}), now
         )
         return decider._destinations
 
-    assert learn(0.0, True, member(1), member(2), member(3)) == {1, 2, 3}
-    assert learn(1.0, False, member(1, phase="DELETED")) == {1, 2, 3}
-    assert learn(2.0, True, member(3)) == {1, 2, 3}
-    assert learn(20.5, False, member(2)) == {1, 2, 3}
-    assert learn(21.5, False) == {2, 3}
+    assert apply_update(0.0, True, make_member(1), make_member(2), make_member(3)) == {1, 2, 3}
+    assert apply_update(1.0, False, make_member(1, phase="DELETED")) == {1, 2, 3}
+    assert apply_update(2.0, True, make_member(3)) == {1, 2, 3}
+    assert apply_update(20.5, False, make_member(2)) == {1, 2, 3}
+    assert apply_update(21.5, False) == {2, 3}
     assert len(decider._endpoints) == 2
 
 
-def test_an_ended_message_is_forgotten_once_its_time_is_up_and_its_notice_taken(tmp_path: Path) -> None:
+def test_a_finished_message_is_dropped_after_its_deadline_and_its_acknowledged_notice(tmp_path: Path) -> None:
     store = Store(tmp_path, 3_000_000, 1000.0)
     for number in (1, 2):
         add_message(store, number)
@@ -749,7 +765,7 @@
 # ---- clients ----
 
 
-def test_a_request_that_fails_inside_the_node_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_fails_with_an_internal_error_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     intake = Intake(("127.0.0.1", 0), read(Reader(SETTINGS)), lambda _: None, Counters(), 10)
     monkeypatch.setattr(intake, "make_arrival", lambda *_: 1 / 0)
     intake.start()
