--- a/tests/node/support.py
+++ b/tests/node/support.py
@@ -1,4 +1,4 @@
-"""Peers on loopback in one process with the part that is tested, and waiting without a guess at time."""
+"""Helpers for tests of parts of the node in one process: loopback sockets and waits for conditions."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -8,12 +8,12 @@
 from gevent import socket
 
 TIMEOUT = 20.0
-"""Seconds after which a test has failed; nothing else hangs on it."""
+"""Seconds after which a waiting test fails."""
 
 
 def wait_until(condition: Callable[[], Any], what: str = "the condition") -> Any:
-    """Let the others run until something holds."""
-    with gevent.Timeout(TIMEOUT, AssertionError(f"{what} did not come about")):
+    """Let other greenlets run until the condition holds; returns its value."""
+    with gevent.Timeout(TIMEOUT, AssertionError(f"timed out waiting for {what}")):
         while not (found := condition()):
             gevent.sleep(0.005)
     return found
@@ -27,9 +27,12 @@
 
 
 def read_to_end(client: socket.socket) -> bytes:
-    """All that a connection still brings, to its end or its reset."""
+    """All further bytes of a connection, until it is closed or reset."""
     data = b""
-    with gevent.Timeout(TIMEOUT, AssertionError(f"no end after {data!r}")), suppress(ConnectionResetError):
+    with (
+        gevent.Timeout(TIMEOUT, AssertionError(f"still open after {data!r}")),
+        suppress(ConnectionResetError),
+    ):
         while more := client.recv(65536):
             data += more
     return data
--- a/tests/node/test_record_clock.py
+++ b/tests/node/test_record_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the records: one for all lives of a boot, which no step of the wall clock moves."""
+"""The record clock: shared by all processes of one boot, and unaffected by steps of the wall clock."""
 
 import time
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def wall_clock(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """What the wall clock says; a test steps it by writing to the first place."""
+    """A fake wall clock, in seconds; a test steps it by changing the only item."""
     reading = [1_000_000.0]
     monkeypatch.setattr(record_clock, "wall_clock", lambda: reading[0])
     return reading
@@ -57,7 +57,7 @@
 def test_a_state_directory_without_an_anchor_uses_the_wall_clock(
     tmp_path: Path, wall_clock: list[float]
 ) -> None:
-    """Its segments hold Unix time and no anchor."""
+    """The segments of an earlier release hold Unix time and no anchor."""
     previous = Store(tmp_path, 3_000_000)
     path = next(tmp_path.glob("*.log"))
     path.write_bytes(b"")
--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeated attempts and kept connections: what may come between a decision and a call's last byte."""
+"""Retries and reused connections: events between the decision to send a call and its last byte."""
 
 import time
 from collections.abc import Callable
@@ -25,6 +25,7 @@
 from tests.test_node_parts import add_message, make_entry
 
 FAR_FUTURE = 1e9
+"""A deadline, in seconds of the monotonic clock, that no test reaches."""
 
 
 def start_endpoint_actor(
@@ -46,7 +47,7 @@
     return actor
 
 
-# ---- the window in which a repeat is dropped ----
+# ---- the dedup window ----
 
 
 def test_a_keyed_retry_must_be_written_within_its_dedup_window() -> None:
@@ -57,16 +58,16 @@
     assert [send.write_deadline for _, send in driver.sends] == [float("inf"), 1.0 + KEYED.dedup_window]
 
 
-@pytest.mark.parametrize("late", ["in the mailbox", "on the way up", "in the writing"])
+@pytest.mark.parametrize("late", ["in the mailbox", "while connecting", "while writing"])
 def test_a_retry_that_misses_its_write_deadline_does_not_run(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, late: str
 ) -> None:
-    """It is held back, or broken off while a part of it is missing: neither can have run."""
+    """The call is withheld, or aborted before its last byte is written; in neither case can it have run."""
     results: list[AttemptResult] = []
     store = Store(tmp_path, 3_000_000, 1000.0)
     add_message(store, 1)
     write_deadline = time.monotonic() + (-0.1 if late == "in the mailbox" else 0.3)
-    if late == "on the way up":
+    if late == "while connecting":
         connect = sockets.connect
 
         def connect_slowly(*arguments: Any) -> socket.socket:
@@ -76,7 +77,7 @@
         monkeypatch.setattr(sockets, "connect", connect_slowly)
     with listening_socket() as server:
         actor = start_endpoint_actor(server, results, store)
-        body = bytes(50_000_000 if late == "in the writing" else 5)  # far more than the system holds
+        body = bytes(50_000_000 if late == "while writing" else 5)  # far more than socket buffers hold
         actor.mailbox.put(
             Call([OutgoingMessage(1, 1, "m1", "k", body, FAR_FUTURE, FAR_FUTURE, write_deadline)], 1001.0)
         )
@@ -88,7 +89,7 @@
             while data := connection.recv(1_000_000):
                 received += len(data)
     assert results[0].result.reached is Reached.CONNECTED
-    if late == "in the writing":
+    if late == "while writing":
         assert 0 < received < len(body)
         assert results[0].result.outcome is Outcome.CONNECT_FAILED
     else:
@@ -103,7 +104,7 @@
 
 
 def is_withheld(directory: Path, command: Retire | WithholdCalls | None) -> bool:
-    """Whether a call does not leave that is told this, or whose window ends, 0.1 s after its decision."""
+    """Whether a call is not sent if this command, or its write deadline, comes 0.1 s after the decision."""
     results: list[AttemptResult] = []
     store = Store(directory, 3_000_000, 1000.0)
     add_message(store, 1)
@@ -125,7 +126,7 @@
 def test_a_call_is_checked_again_after_a_slow_write_of_its_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The whole node stands still while it writes; what it was told meanwhile it reads only then."""
+    """A write blocks the whole node, so commands queued meanwhile are read only after it."""
     record_send = Store.record_send
 
     def record_slowly(*arguments: Any) -> bool:
@@ -144,7 +145,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_message_sent_ahead_of_its_queue_is_retried_only_in_its_zone(seed: int) -> None:
-    """On an unproven destination it passes one that may not be repeated, and leaves no place behind."""
+    """On a destination not known to have recovered, a keyed message overtakes an unsafe one.
+
+    It must leave no entry in the destination's queue, from which it could be retried in another zone.
+    """
     zoned = tuple(replace(message_class, dedup_scope=DedupScope.ZONE) for message_class in CLASSES)
     driver = Driver(endpoint(1, zone=0), endpoint(2, zone=1), classes=zoned, zones=("a", "b"), seed=seed)
     failing = (1, 2, 3)
@@ -164,13 +168,13 @@
     assert driver.last_endpoint[5] == zone
 
 
-# ---- a shared call and time ----
+# ---- time limits of a batch call ----
 
 
 def test_a_batch_call_that_cannot_connect_ends_at_its_first_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Waited for as long as a connection may take, the message was told its end after its time."""
+    """With the connect timeout alone, the message would get its result after its deadline."""
     timeouts: list[float] = []
 
     def time_out(_: Any, timeout: float, keep_trying: float) -> socket.socket:
@@ -199,20 +203,20 @@
     assert {end.result.outcome for end in results} == {Outcome.CONNECT_FAILED}
 
 
-# ---- kept connections ----
+# ---- reused connections ----
 
 
 def reset_connection(connection: socket.socket) -> None:
-    """Close with bytes unread, or told not to linger: the other side gets a reset."""
+    """Close without lingering, so that the other side gets a reset."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     connection.close()
 
 
 LATE_EVENTS: dict[str, Callable[[socket.socket], object]] = {
-    "its end": lambda connection: connection.shutdown(socket.SHUT_WR),
-    "its reset": reset_connection,
-    "half a line": lambda connection: connection.sendall(b"HTTP/1.1 20"),
-    "the answer once more": lambda connection: connection.sendall(http_response(200)),
+    "end of stream": lambda connection: connection.shutdown(socket.SHUT_WR),
+    "reset": reset_connection,
+    "partial status line": lambda connection: connection.sendall(b"HTTP/1.1 20"),
+    "duplicate answer": lambda connection: connection.sendall(http_response(200)),
 }
 
 
@@ -280,7 +284,7 @@
 
 
 @pytest.mark.parametrize(
-    "trailing", [b"x", http_response(200), b"\r\n"], ids=["extra bytes", "twice", "an empty line"]
+    "trailing", [b"x", http_response(200), b"\r\n"], ids=["extra bytes", "second answer", "empty line"]
 )
 def test_a_valid_answer_with_trailing_bytes_counts_but_its_connection_is_not_reused(
     tmp_path: Path, trailing: bytes
@@ -299,11 +303,11 @@
     assert not actor._idle
 
 
-# ---- across two lives ----
+# ---- across restarts ----
 
 
-@pytest.mark.parametrize("may_have_run", [None, True, False], ids=["still out", "may have run", "never ran"])
-@pytest.mark.parametrize(("zone", "zone_index"), [("z", 0), ("a zone of other settings", None), ("", None)])
+@pytest.mark.parametrize("may_have_run", [None, True, False], ids=["in flight", "may have run", "not run"])
+@pytest.mark.parametrize(("zone", "zone_index"), [("z", 0), ("an unknown zone", None), ("", None)])
 def test_a_restarted_node_knows_when_and_where_the_first_attempt_that_may_have_run_was_sent(
     tmp_path: Path, may_have_run: bool | None, zone: str, zone_index: int | None
 ) -> None:
@@ -337,16 +341,16 @@
         )
 
 
-@pytest.mark.parametrize("second_attempt", ["untried", "out", "withheld", "ended"])
+@pytest.mark.parametrize("second_attempt", ["untried", "in flight", "withheld", "ended"])
 def test_an_attempt_in_flight_at_a_crash_is_known_after_two_restarts(
     tmp_path: Path, second_attempt: str
 ) -> None:
-    """Else the window began anew with each life, and a keyed message went again outside it."""
+    """Otherwise each restart would begin a new dedup window, and retries could be sent after the real one."""
     first_store = Store(tmp_path, 3_000_000, 1000.0)
     add_message(first_store, 1)
     first_store.record_send([(1, 0)], 1001.0, "z")
     second_store = Store(tmp_path, 3_000_000, 1002.0)
-    if second_attempt in ("out", "ended"):
+    if second_attempt in ("in flight", "ended"):
         second_store.record_send([(1, 1)], 1003.0, "elsewhere")
     if second_attempt in ("withheld", "ended"):
         second_store.write([second_store.end_attempt(1, 1, ran=False)], 1004.0)
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -1,4 +1,4 @@
-"""A real node whose settings change while it serves: nothing owed is lost or doubled, nothing half taken."""
+"""Settings changes while a node serves: no message is lost or duplicated, no change is applied in part."""
 
 import json
 import os
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 NEW_CLASS = {"repeat": "read_like", "slo": 2.0, "hardLimit": 20.0}
 CLOSE_UNANSWERED = b""
-"""An endpoint's script: the connection ends with no answer, so that the call may have run."""
+"""For an endpoint's script: the connection closes without an answer, so the call may have run."""
 
 
 def wait_until_delivered(node: Node, count: int) -> None:
@@ -59,7 +59,7 @@
 ) -> None:
     endpoint = ScriptedEndpoint()
     with dynamic_settings_node(tmp_path) as (node, platform, cluster):
-        for id_ in ("m1", "m2"):  # no endpoint yet: they wait
+        for id_ in ("m1", "m2"):  # queued, since there is no endpoint yet
             assert node.submit(id_, "keyed").status == 202
         wait_until_in_force(node, cluster.publish(lane_items("safe")))
         assert node.submit("m3", "keyed").status == 404
@@ -69,7 +69,7 @@
             node.start()
             wait_until_in_force(node, 1)
             assert saved_settings(node)["retired"].keys() == {"lanes/keyed"}, (
-                "only what is owed under is kept"
+                "only what pending messages need is kept"
             )
             assert node.submit("m3", "keyed").status == 404
         platform.update_members(platform.add_member(endpoint, 1))
@@ -79,7 +79,7 @@
         node.kill()
         node.start()
         wait_until_in_force(node, 1)
-        assert saved_settings(node)["retired"] == {}, "nothing is owed any more"
+        assert saved_settings(node)["retired"] == {}, "nothing is pending any more"
         endpoint.close()
 
 
@@ -89,14 +89,14 @@
     with dynamic_settings_node(tmp_path, endpoint) as (node, platform, cluster):
         assert node.submit("m1", "keyed").status == 202
         assert node.submit("m2", "unsafe").status == 202
-        eventually(lambda: endpoint.calls_with("m1") and endpoint.calls_with("m2"), "a call of each")
+        eventually(lambda: endpoint.calls_with("m1") and endpoint.calls_with("m2"), "a call for each message")
         wait_until_in_force(node, cluster.publish(lane_items("safe")))
         if restarted:
             node.kill()
             node.start()
-        assert eventually(lambda: platform.notice_for("m2"))["result"] == "dead", "it may have run"
+        assert eventually(lambda: platform.notice_for("m2"))["result"] == "dead", "the call may have run"
         endpoint.script = [http_response(200)]
-        eventually(lambda: len(endpoint.calls_with("m1")) >= 2, "a repeat")
+        eventually(lambda: len(endpoint.calls_with("m1")) >= 2, "a retry")
         assert {call.headers["idempotency-key"] for call in endpoint.calls_with("m1")} == {"key-m1"}
         eventually(lambda: node.counters().get("delivered") == 1)
         assert platform.notice_for("m1") is None
@@ -166,8 +166,8 @@
         assert line["revision"] == bad
         assert line["reason"].startswith(path)
         assert "Traceback" not in node.log.read_text()
-        assert node.submit("m1", "more").status == 404, "nothing of it is taken"
-        assert node.submit("m2", "unsafe").status == 202, "what was there before still is"
+        assert node.submit("m1", "more").status == 404, "nothing of the document is applied"
+        assert node.submit("m2", "unsafe").status == 202, "the earlier classes are still accepted"
         assert saved_settings(node)["items"] == {"allowed/attemptsCap": 5}
         good = cluster.publish(
             lane_items("safe", more=NEW_CLASS), *(p for p in items if not p.startswith("lanes/"))
@@ -200,7 +200,7 @@
         wait_until_in_force(node, cluster.publish({"kinds/shared": {"maxBatch": 5}}))
         if restarted:
             node.kill()
-        endpoint.script = [http_response(200)]  # only now: it is delivered by the last life
+        endpoint.script = [http_response(200)]  # set after the kill, so that the last process delivers
         if restarted:
             node.start()
         wait_until_delivered(node, 1)
@@ -212,8 +212,8 @@
     with dynamic_settings_node(tmp_path) as (node, platform, cluster):
         eventually(lambda: platform.watchers)
         platform.update_members(platform.add_member(endpoint, 1, flavor="fresh"))
-        eventually(lambda: logged_events(node, "list_line_waits_for_its_kind"), "a line that waits")
-        assert node.submit("m1").status == 202, "no list has named a destination yet"
+        eventually(lambda: logged_events(node, "list_line_waits_for_its_kind"), "a list line that waits")
+        assert node.submit("m1").status == 202, "no list has contained a destination yet"
         kinds = {"kinds/plain": {}, "kinds/shared": {"maxBatch": 5}, "kinds/fresh": {"maxBatch": 2}}
         wait_until_in_force(node, cluster.publish(kinds))
         wait_until_delivered(node, 1)
@@ -244,10 +244,11 @@
         for number in range(16):
             assert node.submit(f"m{number}", X_Consignee=f"dest={number}").status == 202
         eventually(
-            lambda: sum(len(endpoint.requests) for endpoint in endpoints) == 12, "as many as the file says"
+            lambda: sum(len(endpoint.requests) for endpoint in endpoints) == 12,
+            "the calls that the file allows",
         )
         wait_until_in_force(node, cluster.publish({"extra/maxCalls": 60}))
-        eventually(lambda: sum(len(endpoint.requests) for endpoint in endpoints) == 16, "all of them")
+        eventually(lambda: sum(len(endpoint.requests) for endpoint in endpoints) == 16, "all calls")
         for endpoint in endpoints:
             endpoint.close()
 
@@ -308,17 +309,16 @@
         assert node.submit("m1", "more").status == 202
         node.kill()
         cluster.stop()
-        node.config_data["limits"]["sockets"] = 80  # too few for so many calls
-        platform.add_member(
-            endpoint, 1
-        )  # before the watch is held: a change as it opens may cross the whole list
+        node.config_data["limits"]["sockets"] = 80  # too few for 100 calls
+        # Listed before the watch opens: an update sent while it opens could overtake the complete list.
+        platform.add_member(endpoint, 1)
         node.start()
         (line,) = logged_events(node, "saved_settings_refused")
         assert line["error"].startswith("extra.maxCalls: ")
-        assert node.submit("m2", "keyed").status == 202, "the file's settings go on"
+        assert node.submit("m2", "keyed").status == 202, "the file's settings are in force"
         assert node.submit("m3", "more").status == 404
         wait_until_delivered(node, 2)
-        assert len(endpoint.calls_with("m1")) == 1, "and what is owed under the saved ones is tried"
+        assert len(endpoint.calls_with("m1")) == 1, "the pending message of the saved class is sent"
         endpoint.close()
 
 
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -1,20 +1,14 @@
-"""A machine's wall clock is stepped while a node holds messages; spans of real time must not change.
+"""Steps of the wall clock while a node holds messages must not change any duration.
 
-Symptom: accepted messages that may not be repeated got no final answer in their time, a few of them, on
-nodes whose wall clock was stepped.
+Deadlines were stored as Unix time and converted back with the wall clock of that moment, so every duration
+that spanned a step was wrong by the step:
 
-Sequence: a message was accepted with 12 s to live and waited behind an open circuit breaker. Meanwhile the
-wall clock went back by 3 or 20 s. 11 s after its acceptance the message was sent; it ran, but its answer got
-lost. The node went on waiting for that answer beyond the message's time, by as much as the clock had gone
-back, and gave no final answer.
-
-Cause: deadlines were kept as Unix time and turned back into the monotonic clock with the wall clock as it
-stood at that moment. Every span that crossed a step was wrong by the step.
-
-What settled it: in a replay, the log's time stamps jump by -3, +20 and -20 s against the monitoring's clock.
-Behind a step forward circuit breakers open with CONNECT_FAILED at destinations that are well: calls whose
-deadline seemed past ended before they connected. All four messages lost were of the class that may not be
-repeated, the only one whose calls have no second limit beside the deadline.
+- After a step back by 3 or 20 s, an unsafe message whose answer was lost got no final answer in time.
+  Accepted with a deadline of 12 s, it was queued behind an open circuit breaker and sent after 11 s; the node
+  then waited past the deadline by as much as the clock had gone back. Only unsafe messages were lost (four in
+  a replay with steps of -3, +20 and -20 s), since their calls have no time limit besides the deadline.
+- After a step forward, calls seemed past their deadline and ended with CONNECT_FAILED before connecting,
+  which opened the circuit breakers of healthy destinations.
 """
 
 import time
@@ -26,11 +20,12 @@
 from tests.node_support import ScriptedEndpoint, eventually, http_response
 
 HOUR = 3600.0
+"""Seconds."""
 STEPS = pytest.mark.parametrize("step", [-HOUR, -3.0, 20.0], ids="step {:+.0f} s".format)
 RESULT_SLACK = 0.3
-"""Seconds after a message's time in which its final answer may still come."""
+"""Seconds after the deadline within which the final answer must come."""
 HARNESS_SLACK = 0.5
-"""What the harness may add on a busy machine; every step is far longer."""
+"""Seconds that the test may take longer on a busy machine; every step is far longer."""
 RETRY_AFTER_800_MS = http_response(429, "Retry-After: 0.800")
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The real program on real sockets: messages taken on, sent, ended, and what outlives a process."""
+"""The node as a process on real sockets: messages accepted, sent and finished, shutdown and restarts."""
 
 import os
 import signal
@@ -62,7 +62,7 @@
 
 
 class BatchEndpoint(ScriptedEndpoint):
-    """Takes every message of a shared call but those whose id ends in `x`."""
+    """Accepts every message of a batch call except those whose id ends in `x`."""
 
     def reply(self, connection: socket.socket, request: http.Message) -> None:
         ids = [line.split()[0] for line in bytes(request.body).decode().splitlines()[::3]]
@@ -73,7 +73,7 @@
 def test_messages_queued_for_one_endpoint_are_sent_in_a_batch_call(tmp_path: Path) -> None:
     endpoint = BatchEndpoint()
     with node_and_platform(tmp_path) as (node, platform):
-        for id_ in ("m1", "m2", "m3", "m4", "m5x"):  # no endpoint yet: they wait
+        for id_ in ("m1", "m2", "m3", "m4", "m5x"):  # queued, since there is no endpoint yet
             assert node.submit(id_, "unsafe", b"y\r\nz").status == 202
         eventually(lambda: platform.watchers)
         platform.update_members(platform.add_member(endpoint, 1, flavor="shared"))
@@ -92,7 +92,7 @@
         platform.members[0]["phase"] = "DRAINING"
         platform.update_members(platform.members[0])
         platform.send_update("no JSON")
-        eventually(lambda: len(platform.watchers) > 1, "a new watch after a line that cannot be read")
+        eventually(lambda: len(platform.watchers) > 1, "a new watch after an invalid line")
         before = len(first_endpoint.requests)
         for number in range(6):
             node.submit(f"m{number}")
@@ -180,11 +180,11 @@
 def test_a_client_that_disconnects_before_the_answer_withdraws_its_message(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint()
     with node_and_platform(tmp_path, endpoint) as (node, platform):
-        os.kill(node.process.pid, 19)  # stopped: the request waits unread
+        os.kill(node.process.pid, 19)  # SIGSTOP: the node does not read the request
         client = node.connect()
         client.send(message_request("m1"))
         client.close()
-        os.kill(node.process.pid, 18)
+        os.kill(node.process.pid, 18)  # SIGCONT
         eventually(lambda: node.counters().get("clients_left") == 1)
         node.submit("m2")
         wait_until_delivered(node, 1)
@@ -206,7 +206,7 @@
 def test_accepted_messages_survive_a_kill(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint()
     with node_and_platform(tmp_path) as (node, platform):
-        for number in range(5):  # no endpoint yet: they wait
+        for number in range(5):  # queued, since there is no endpoint yet
             assert node.submit(f"m{number}", "unsafe", bytes([number])).status == 202
         node.kill()
         platform.add_member(endpoint, 1)
@@ -218,7 +218,7 @@
 
 
 def restart_with_a_call_in_flight(node: Node, endpoint: ScriptedEndpoint, message_class: str) -> None:
-    """Kill the node while the endpoint holds `m1` unanswered; in its next life the endpoint answers."""
+    """Kill and restart the node while `m1` is unanswered; from then on the endpoint answers."""
     node.submit("m1", message_class)
     eventually(lambda: endpoint.calls_with("m1"))
     node.kill()
@@ -312,7 +312,7 @@
         node.submit("m1")
         eventually(lambda: len(platform.watchers) > before, "a watch")
         platform.watchers[-1].shutdown(socket.SHUT_RDWR)
-        eventually(lambda: len(platform.watchers) > before + 1, "a watch held anew")
+        eventually(lambda: len(platform.watchers) > before + 1, "a new watch")
         platform.update_members(platform.add_member(endpoint, 1))
         wait_until_delivered(node, 1)
         endpoint.close()
@@ -342,7 +342,7 @@
         node.config_data["discovery"] = f"127.0.0.1:{new_platform.port}"
         node.reload_config()
         eventually(lambda: new_platform.watchers, "a watch at the new address")
-        client.send(message_request("m2", "unsafe", X_Consignee="dest=2"))  # its connection is kept
+        client.send(message_request("m2", "unsafe", X_Consignee="dest=2"))  # on the old connection
         assert client.read_response().status == 202
         assert eventually(lambda: new_platform.notice_for("m2"))["result"] == "dead"
         assert platform.notices == []
@@ -397,7 +397,7 @@
             masks = dict(line.split(":", 1) for line in status.read_text().splitlines())
             return bool((int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)) >> (signal.SIGHUP - 1) & 1)
 
-        eventually(handles_sighup, "a node that minds SIGHUP")
+        eventually(handles_sighup, "a node that handles SIGHUP")
         while not node.is_healthy():
             process.send_signal(signal.SIGHUP)
         assert process.poll() is None
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -1,4 +1,4 @@
-"""The node's parts by themselves: configuration, buffer, HTTP, results, the lasting folder, the list."""
+"""Unit tests of the node's parts: configuration, buffer, HTTP, results, store, endpoints, list and intake."""
 
 import json
 import socket
@@ -40,7 +40,7 @@
 
 
 class ChunkedSource:
-    """A socket's stand-in that hands out bytes in pieces."""
+    """A fake socket that delivers its data in chunks."""
 
     def __init__(self, data: bytes, chunk_size: int) -> None:
         self._data, self._chunk_size = data, chunk_size
@@ -287,7 +287,7 @@
     }
 
 
-# ---- the lasting folder ----
+# ---- store ----
 
 
 def make_entry(number: int, due: float, body: bytes = b"body") -> Entry:
@@ -383,7 +383,7 @@
     store, number = Store(tmp_path, 1_000_000, 1000.0), 1
     while store.fits(make_entry(number, 1010.0, bytes(100)), 1000.0):
         store.add(make_entry(number, 1010.0, bytes(100)))
-        store.finish(number, "dead")  # its notice is still owed
+        store.finish(number, "dead")  # its notice is pending
         number += 1
     assert not store.fits(make_entry(number, 1010.0), 1009.0)
     store.mark_notified(range(1, number), 1009.0)
@@ -397,7 +397,7 @@
         assert store.fits(make_entry(number, 1010.0 + number), 1000.0)
         store.add(make_entry(number, 1010.0 + number))
         store.finish(number, "delivered")
-    assert 4999 in store.entries  # the newest are known again
+    assert 4999 in store.entries  # repeated submissions of the newest are still recognised
     assert 1 not in store.entries
 
 
@@ -457,17 +457,15 @@
 
 
 def test_a_batch_call_ends_as_a_whole_at_its_first_deadline(tmp_path: Path) -> None:
-    """One that merely wants to go again does not end it; an attempt that was told its end has no call out."""
+    """A message that is due for a retry does not end the call; one with a result has no call in flight."""
     results: list[AttemptResult] = []
-    received: list[
-        bytes
-    ] = []  # what the endpoint had read by the first end that was told, b"" for its own end
+    received: list[bytes] = []  # what the endpoint has read by the first result; b"" is the end of stream
     store = Store(tmp_path, 3_000_000, 1000.0)
     with socket.create_server(("127.0.0.1", 0)) as server:
         endpoint = make_endpoint(server.getsockname(), results, store)
 
         def post_result(result: AttemptResult) -> None:
-            """At the moment of the first end, the call is no longer out."""
+            """At the first result, the connection of the call must be closed already."""
             if not received:
                 connection, _ = server.accept()
                 connection.settimeout(3.0)
@@ -496,13 +494,13 @@
     assert {result.number: result.result for result in results} == dict.fromkeys(
         range(3), unanswered_result(Reached.WRITTEN, EndReason.GIVEN_UP)
     )
-    assert time.monotonic() >= times["out-of-time"][0]  # not before: the hurried one alone ended nothing
+    assert time.monotonic() >= times["out-of-time"][0]  # the give-up time of "hurried" did not end the call
     assert b"patient" in b"".join(received)
     assert received[-1] == b""
 
 
 def test_a_batch_call_does_not_end_for_one_message_that_would_be_retried(tmp_path: Path) -> None:
-    """Given up for the first that would, it took the unsafe ones beside it down, whose answer was to come."""
+    """Ending the call at the first give-up time also failed unsafe messages in it whose answer was due."""
     results: list[AttemptResult] = []
     with socket.create_server(("127.0.0.1", 0)) as server:
         endpoint = make_endpoint(server.getsockname(), results, Store(tmp_path, 3_000_000, 1000.0))
@@ -532,7 +530,7 @@
 
 
 def test_a_call_past_its_deadline_is_not_sent_on_a_reused_connection(tmp_path: Path) -> None:
-    """As after a standstill of the node between the decision and the write."""
+    """This happens when the node stalls between the decision and the write."""
     results: list[AttemptResult] = []
     with socket.create_server(("127.0.0.1", 0)) as server:
         endpoint = make_endpoint(server.getsockname(), results, Store(tmp_path, 3_000_000, 1000.0))
@@ -558,14 +556,14 @@
 def test_an_answer_received_while_the_process_was_stalled_counts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cancelled: bool
 ) -> None:
-    """Time-outs and commands that fell due meanwhile come first, and must not hide what has come."""
+    """Timeouts and commands due during the stall are handled first and must not hide a received answer."""
     results: list[AttemptResult] = []
     receive, deadline = Buffer.receive, time.monotonic() + 0.3
     with socket.create_server(("127.0.0.1", 0)) as server:
         endpoint = make_endpoint(server.getsockname(), results, Store(tmp_path, 3_000_000, 1000.0))
 
         def stall(buffer: Buffer, source: Any) -> int:
-            """The answer comes and the time passes before this process looks, at its clock first."""
+            """The answer arrives and the deadline passes before the process checks its clock, then reads."""
             monkeypatch.setattr(Buffer, "receive", receive)
             connection, _ = server.accept()
             with connection:
@@ -600,7 +598,7 @@
     assert results[0].result == unanswered_result(Reached.NOTHING, EndReason.CALLED_OFF)
 
 
-# ---- the list ----
+# ---- endpoint list ----
 
 
 def make_member(number: int, **changes: Any) -> dict[str, Any]:
@@ -626,7 +624,7 @@
             "members": [
                 make_member(1),
                 {"id": "x"},
-                make_member(2, flavor="unheard of"),
+                make_member(2, flavor="unknown"),
                 5,
                 make_member(3, host_port="here"),
                 make_member(4, phase="DRAINING", up_since_ms=1000.0 * wall_clock()),
@@ -673,7 +671,7 @@
             before = len(updates)
             discovery.mailbox.put(api.Subscribe(True))
             connection, _ = server.accept()
-            assert b"from=4 " in connection.recv(65536)  # nothing spoilt was taken for a revision
+            assert b"from=4 " in connection.recv(65536)  # no revision was taken from an invalid list
             connection.sendall(answer)
             if answer is invalid:
                 connection.close()
@@ -702,7 +700,7 @@
 
 
 def test_a_new_id_at_the_same_address_is_another_endpoint() -> None:
-    """Told in any order, the endpoint that went does not take the one in its place with it."""
+    """In any order of lines, the removal of the old endpoint does not remove the new one at its address."""
     reader, address = ListReader(read(Reader(SETTINGS))), "10.0.0.1:7070"
     states = api.EndpointState
 
@@ -762,7 +760,7 @@
     assert store.entries == {}
 
 
-# ---- clients ----
+# ---- intake ----
 
 
 def test_a_request_that_fails_with_an_internal_error_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
