--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -207,7 +207,7 @@
 
 
 def reset_connection(connection: socket.socket) -> None:
-    """Close without lingering, so that the other side gets a reset."""
+    """Close with a linger time of zero, which sends a reset."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     connection.close()
 
@@ -345,7 +345,7 @@
 def test_an_attempt_in_flight_at_a_crash_is_known_after_two_restarts(
     tmp_path: Path, second_attempt: str
 ) -> None:
-    """Otherwise each restart would begin a new dedup window, and retries could be sent after the real one."""
+    """Otherwise each restart would begin a new dedup window, and a retry could come too late."""
     first_store = Store(tmp_path, 3_000_000, 1000.0)
     add_message(first_store, 1)
     first_store.record_send([(1, 0)], 1001.0, "z")
--- a/tests/node/test_settings_change.py
+++ b/tests/node/test_settings_change.py
@@ -200,7 +200,7 @@
         wait_until_in_force(node, cluster.publish({"kinds/shared": {"maxBatch": 5}}))
         if restarted:
             node.kill()
-        endpoint.script = [http_response(200)]  # set after the kill, so that the last process delivers
+        endpoint.script = [http_response(200)]  # only now, so that the last process delivers
         if restarted:
             node.start()
         wait_until_delivered(node, 1)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -302,7 +302,7 @@
         assert node.counters()["recovered"] == 1
 
 
-def test_a_pushed_list_is_watched_without_a_request_of_the_sender(tmp_path: Path) -> None:
+def test_a_pushed_list_is_watched_without_a_request_from_the_sender(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint()
     with node_and_platform(tmp_path) as (node, platform):
         node.kill()
