--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -12,7 +12,7 @@
 
 from irisstack.dynamic_settings.accepted import AcceptedSettings
 from irisstack.dynamic_settings.document import KINDS, LANES, check_size, compose
-from irisstack.dynamic_settings.merge import check_restart, definitions_of_gone, merge
+from irisstack.dynamic_settings.merge import check_no_restart_needed, merge, retired_definitions
 from irisstack.dynamic_settings.values import check_values
 from irisstack.interface import Settings
 from irisstack.node.config import HostPort, disable_gossip_without_peers
@@ -57,7 +57,7 @@
         with _only_raising_settings_errors():
             proposed = self._parse(compose(self._base, items))
             merged = merge(self.in_force.settings, proposed)
-            retired = definitions_of_gone(merged, proposed)
+            retired = retired_definitions(merged, proposed)
             check_size(retired, "removed definitions")  # they have to be saved; a restart drops unneeded ones
             return _accepted_settings(merged, proposed, retired)
 
@@ -83,10 +83,10 @@
     ) -> AcceptedSettings:
         with _only_raising_settings_errors():
             proposed = self._parse(compose(self._base, items))
-            check_restart(self._file_settings, proposed)
+            check_no_restart_needed(self._file_settings, proposed)
             needed = {path: value for path, value in retired.items() if _is_needed(path, pending_classes)}
             settings = self._parse(compose(self._base, items, needed))
-            return _accepted_settings(settings, proposed, definitions_of_gone(settings, proposed))
+            return _accepted_settings(settings, proposed, retired_definitions(settings, proposed))
 
     def _usable_definitions(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
         """The definitions that are valid together with the node's own file."""
--- a/irisstack/node/service.py
+++ b/irisstack/node/service.py
@@ -172,7 +172,7 @@
                 continue
             if loaded.discovery != self._config.discovery:
                 self._discovery.mailbox.put(AddressChanged(loaded.discovery))
-                self._notices.set_peer(loaded.discovery)
+                self._notices.set_address(loaded.discovery)
             await_restart = [
                 field.name
                 for field in fields(Config)
@@ -295,7 +295,7 @@
     # ---- state directory and settings ----
 
     def _open_store(self) -> Store:
-        """Open the state directory, less the bytes reserved for the settings snapshot if there is one."""
+        """Open the state directory, less the bytes reserved for the saved settings if there are any."""
         disk_bytes = self._config.disk_bytes
         if self._config.dynamic_settings is not None:
             from irisstack.dynamic_settings.snapshot import DISK_RESERVE_BYTES
@@ -320,7 +320,7 @@
 
     def _start_dynamic_settings(self, source: DynamicSettings) -> None:
         """Restore the settings saved by the previous process and prepare to watch for changes."""
-        from irisstack.dynamic_settings.snapshot import SnapshotFile
+        from irisstack.dynamic_settings.snapshot import SavedSettingsFile
         from irisstack.node.live_settings import LiveSettings
         from irisstack.node.settings_watch import SettingsWatch
 
@@ -330,15 +330,15 @@
             self._live_settings = LiveSettings(source.base, config.peers, max_calls_limit)
         except SettingsError as error:
             raise ConfigError(f"settings: {error}") from None
-        snapshot_file = SnapshotFile(config.state)
-        if (saved := snapshot_file.load()) is not None:
+        saved_settings_file = SavedSettingsFile(config.state)
+        if (saved := saved_settings_file.load()) is not None:
             pending_classes = {entry.message_class for entry in self._store.entries.values() if entry.pending}
             self._live_settings.restore(saved.items, saved.retired, pending_classes)
         self._settings_watch = SettingsWatch(
             source.members,
             source.prefix,
             source.bytes_per_s,
-            snapshot_file,
+            saved_settings_file,
             self._check_settings,
             self._accept_settings,
             self.counters,
--- a/tests/node/test_repeats.py
+++ b/tests/node/test_repeats.py
@@ -232,14 +232,14 @@
         assert b"m1" in first.recv(65536)
         first.sendall(http_response(200))
         wait_until(lambda: actor._idle)
-        choose_connection = actor._connection
+        choose_connection = actor._take_connection
 
         def choose_then_late_event() -> Any:
             connection = choose_connection()
             late_event(first)
             return connection
 
-        actor._connection = choose_then_late_event  # type: ignore[method-assign]
+        actor._take_connection = choose_then_late_event  # type: ignore[method-assign]
         actor.mailbox.put(Call([OutgoingMessage(2, 0, "m2", "", b"", FAR_FUTURE, FAR_FUTURE)], 1001.0))
         with gevent.Timeout(20.0, AssertionError("no new connection")):
             second, _ = server.accept()
--- a/tests/node/test_wall_clock.py
+++ b/tests/node/test_wall_clock.py
@@ -110,7 +110,7 @@
     tmp_path: Path, step: float
 ) -> None:
     endpoint = ScriptedEndpoint(None)
-    with node_with_faults(tmp_path, endpoint, window=1.5) as (node, platform, rig):
+    with node_with_faults(tmp_path, endpoint, dedup_window=1.5) as (node, platform, rig):
         assert node.submit("m1", "keyed").status == 202
         eventually(lambda: endpoint.requests, "the first call")
         node.kill()
