--- a/irisstack/node/results.py
+++ b/irisstack/node/results.py
@@ -1,4 +1,4 @@
-"""Results of attempts: the outcome of an answer, or of an attempt that ended without one. No decisions."""
+"""Results of attempts, derived from the endpoint's answer or from how an attempt without one ended."""
 
 import errno
 import math
@@ -11,7 +11,7 @@
 
 
 class Reached(IntEnum):
-    """How far an attempt came. It may have run only once its last byte was written."""
+    """How far an attempt got. It can have run only if its last byte was written."""
 
     NOTHING = auto()
     CONNECTED = auto()
@@ -22,15 +22,15 @@
 class EndReason(IntEnum):
     """Why an attempt ended without an answer."""
 
-    BROKEN = auto()
-    GIVEN_UP = auto()
-    CALLED_OFF = auto()
-    WITHHELD = auto()  # not sent: nothing may go to the endpoint any more, or not yet
+    BROKEN = auto()  # an error, such as a reset connection
+    GIVEN_UP = auto()  # timed out
+    CALLED_OFF = auto()  # cancelled
+    WITHHELD = auto()  # not sent: the endpoint must not be called any more, or not yet
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """The result of one attempt; `over` says that the message is final, `retry_after` is in seconds."""
+    """The result of one attempt; `final` if the message needs no further one, `retry_after` in seconds."""
 
     outcome: Outcome
     reached: Reached
@@ -39,9 +39,9 @@
     no_free_slot: bool = False
     report: tuple[float, ...] = ()
     report_fields: tuple[str, ...] = field(default=(), compare=False)
-    """What the numbers of the report are."""
+    """The names of the numbers in the report."""
     error: str = field(default="", compare=False)
-    """What broke an attempt that ended without an answer, as the system names it (`ECONNREFUSED`)."""
+    """The system's name of the error that ended an attempt without an answer, such as `ECONNREFUSED`."""
 
 
 DELIVERED = Result(Outcome.OK, Reached.ANSWERED, final=True)
@@ -50,7 +50,7 @@
     EndReason.GIVEN_UP: Outcome.TIMEOUT,
     EndReason.CALLED_OFF: Outcome.CANCELLED,
 }
-"""The outcome of an attempt that was sent in full and got no answer: it may have run."""
+"""The outcome of an attempt that was sent in full and got no answer; it may have run."""
 OUTCOME_BY_WORD = {
     "accepted": (Outcome.OK, True),
     "fault": (Outcome.ERROR, False),
@@ -58,26 +58,26 @@
     "expired": (Outcome.NOT_SENT, True),
     "no_more": (Outcome.NOT_SENT, False),
 }
-"""Outcome and finality by the word for one message in the answer to a shared call."""
+"""Outcome, and whether it is final, by the word for a message in the answer to a batch call."""
 
 
-def unanswered_result(reached: Reached, ending: EndReason) -> Result:
+def unanswered_result(reached: Reached, reason: EndReason) -> Result:
     """The result of an attempt that ended without an answer."""
-    if ending is EndReason.WITHHELD:
+    if reason is EndReason.WITHHELD:
         return Result(Outcome.NOT_SENT, reached)
     if reached < Reached.WRITTEN:
         return Result(Outcome.CONNECT_FAILED, reached)
-    return Result(OUTCOME_WITHOUT_ANSWER[ending], reached)
+    return Result(OUTCOME_WITHOUT_ANSWER[reason], reached)
 
 
 def error_name(error: Exception) -> str:
-    """The system's name of an error, or its type where it has none."""
-    number = error.errno if isinstance(error, OSError) else None
-    return type(error).__name__ if number is None else errno.errorcode.get(number, str(number))
+    """The system's name of an error (`ECONNREFUSED`), or its type if it has none."""
+    code = error.errno if isinstance(error, OSError) else None
+    return type(error).__name__ if code is None else errno.errorcode.get(code, str(code))
 
 
 def _positive_number(text: str | None) -> float | None:
-    """A header's positive finite number; `None` if it has none."""
+    """The positive finite number in a header; None if there is none."""
     try:
         value = float(text) if text is not None else 0.0
     except ValueError:
@@ -85,10 +85,10 @@
     return value if 0.0 < value < float("inf") else None
 
 
-def _report(message: Message, fields: Sequence[str]) -> tuple[float, ...]:
-    """The load report, in the order of the settings' fields; empty if there is none or it cannot be read."""
+def _load_report(message: Message, report_fields: Sequence[str]) -> tuple[float, ...]:
+    """The load report, in the order of `report_fields`; empty if it is missing or invalid."""
     header = message.headers.get("x-server-load")
-    if header is None or not fields:
+    if header is None or not report_fields:
         return ()
     try:
         pairs = (item.split("=") for item in header.split(","))
@@ -97,43 +97,43 @@
         return ()
     if not all(math.isfinite(value) for value in values.values()):
         return ()
-    return tuple(values.get(name, 0.0) for name in fields)
+    return tuple(values.get(name, 0.0) for name in report_fields)
 
 
-def answer_result(message: Message, fields: Sequence[str]) -> Result:
-    """The result that an answer gives to every message of its call."""
-    wait = _positive_number(message.headers.get("retry-after"))
-    report = _report(message, fields)
-    busy = message.headers.get("x-line-busy") == "1"
+def answer_result(message: Message, report_fields: Sequence[str]) -> Result:
+    """The result of an answer for every message of its call."""
+    retry_after = _positive_number(message.headers.get("retry-after"))
+    report = _load_report(message, report_fields)
+    no_free_slot = message.headers.get("x-line-busy") == "1"
     match message.status:
         case 200:
-            outcome, over = Outcome.OK, True
+            outcome, final = Outcome.OK, True
         case 429:
-            outcome, over = Outcome.FULL, False
+            outcome, final = Outcome.FULL, False
         case 503:
-            outcome, over = (Outcome.NOT_SENT if busy else Outcome.FULL), False
+            outcome, final = (Outcome.NOT_SENT if no_free_slot else Outcome.FULL), False
         case 504:
-            outcome, over = Outcome.NOT_SENT, False
+            outcome, final = Outcome.NOT_SENT, False
         case 410:
-            outcome, over = Outcome.NOT_SENT, True
+            outcome, final = Outcome.NOT_SENT, True
         case _:
-            outcome, over = Outcome.ERROR, False
-    return Result(outcome, Reached.ANSWERED, over, wait, busy, report, tuple(fields))
+            outcome, final = Outcome.ERROR, False
+    return Result(outcome, Reached.ANSWERED, final, retry_after, no_free_slot, report, tuple(report_fields))
 
 
-def batch_results(message: Message, ids: Sequence[str], fields: Sequence[str]) -> dict[str, Result]:
-    """The result of each message of a shared call, by id; one that the answer does not name may have run."""
-    alike = answer_result(message, fields)
+def batch_results(message: Message, ids: Sequence[str], report_fields: Sequence[str]) -> dict[str, Result]:
+    """The result of each message of a batch call, by id; one that the answer omits may have run."""
+    call_result = answer_result(message, report_fields)
     if message.status in (400, 413):
         return dict.fromkeys(ids, Result(Outcome.NOT_SENT, Reached.ANSWERED))
     if message.status != 200:
-        return dict.fromkeys(ids, alike)
+        return dict.fromkeys(ids, call_result)
     words: dict[str, str] = {}
     for line in bytes(message.body).decode("latin-1").splitlines():
         id_, _, word = line.strip().partition(" ")
         words[id_] = word
     results = {}
     for id_ in ids:
-        outcome, over = OUTCOME_BY_WORD.get(words.get(id_, ""), (Outcome.RESET, False))
-        results[id_] = replace(alike, outcome=outcome, final=over, no_free_slot=False)
+        outcome, final = OUTCOME_BY_WORD.get(words.get(id_, ""), (Outcome.RESET, False))
+        results[id_] = replace(call_result, outcome=outcome, final=final, no_free_slot=False)
     return results
