--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -17,7 +17,7 @@
 from irisstack.node.config import HostPort, format_host_port
 from irisstack.node.objects import ObjectStream
 
-ANSWER_OVERDUE_AFTER_S = list_refresh.ANSWER_LATE
+ANSWER_OVERDUE_AFTER_S = list_refresh.ANSWER_OVERDUE_AFTER
 """Seconds from its begin after which a call without a word is late: another may be begun beside it."""
 PARTIAL_ANSWER_OVERDUE_AFTER_S = 1.8
 """The same for one whose bytes are coming."""
--- a/tests/lab/scale/test_list_service.py
+++ b/tests/lab/scale/test_list_service.py
@@ -41,7 +41,7 @@
     assert list_client.ANSWER_WITHIN_S == list_call.ANSWER_TIMEOUT_S
     assert list_client.MOST_WATCHES == discovery.MAX_WATCHES
     assert list_client.OLDEST_KEPT == discovery.OLDEST_WATCHES_KEPT
-    assert list_client.ANSWER_OVERDUE_AFTER_S == list_call.ANSWER_OVERDUE_AFTER_S
+    assert list_client.ANSWER_LATE_S == list_call.ANSWER_OVERDUE_AFTER_S
     assert list_client.WORD_LATE_S == list_call.WATCH_OVERDUE_AFTER_S
     assert list_client.PUSHED_PAUSE_S == discovery.WATCH_RETRY_PAUSE_S
 
