--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -26,9 +26,9 @@
 NOTIFICATION_DEADLINE_AFTER_MOVE_S = 4.0
 """Seconds, in place of `NOTIFICATION_DEADLINE`, after which news of the list counts as told once
 discovery has moved."""
-MOST_NAMED = 8
+MAX_LOGGED_ENDPOINTS = 8
 """Endpoints that one line of the log names at most."""
-LOGGED_FAILURES, LOGGED_EVERY = 5, 50
+LOG_ALL_FAILURES_UP_TO, LOG_EVERY_NTH_FAILURE = 5, 50
 """Calls without a word in between whose failures are all logged, and which of the later ones are."""
 
 log = structlog.get_logger()
@@ -63,12 +63,12 @@
         self._post = post
         self._revision = revision
         self._pushed = pushed
-        self._calls_begun = 0
+        self._calls_started = 0
         self._failures = 0  # since the last word
         self._confirmed_at = time.monotonic()  # when the list that is held was last known to be the newest
         self._watches: list[ListCall] = []
         self._fetch: ListCall | None = None
-        self._wanted = False  # the module's last word on the watch
+        self._subscribed = False  # the module's last word on the watch
         self.mailbox: Queue[api.Action | AddressChanged] = Queue(64)
 
     def run(self) -> None:
@@ -78,16 +78,16 @@
         while True:
             match self.mailbox.get():
                 case api.Subscribe(True):
-                    self._wanted = True
-                    self._hold_watch()
+                    self._subscribed = True
+                    self._ensure_watch()
                 case api.Subscribe(False):
-                    self._wanted = False
+                    self._subscribed = False
                     self._end_watches()
                 case api.FetchEndpoints():
-                    if self._fetch is None or not self._fetch.current:
-                        self._begin_fetch()
+                    if self._fetch is None or not self._fetch.on_time:
+                        self._start_fetch()
                 case AddressChanged(peer):
-                    self._move(peer)
+                    self._change_address(peer)
 
     def close(self) -> None:
         """End all calls."""
@@ -97,28 +97,28 @@
 
     # ---- calls ----
 
-    def _begin(self, query: Query) -> ListCall:
-        self._calls_begun += 1
+    def _start_call(self, query: Query) -> ListCall:
+        self._calls_started += 1
         self._counters.add("list_calls")
-        self._log(
+        self._log_call(
             "list_call_begun",
-            call=self._calls_begun,
+            call=self._calls_started,
             query=query.value,
             revision=self._revision,
             list_age_s=round(self._list_age, 3),
         )
-        return ListCall(self._calls_begun, self._peer, query, self._revision, self)
+        return ListCall(self._calls_started, self._peer, query, self._revision, self)
 
-    def _hold_watch(self) -> None:
+    def _ensure_watch(self) -> None:
         """Begin a call for a watch, unless there is one that is not late: that is as good as another."""
         self._watches = [watch for watch in self._watches if not watch.ended]
-        if any(watch.current for watch in self._watches):
+        if any(watch.on_time for watch in self._watches):
             return
         while len(self._watches) >= MAX_WATCHES:
-            self._end_one_watch()
-        self._watches.append(self._begin(Query.WATCH))
+            self._evict_watch()
+        self._watches.append(self._start_call(Query.WATCH))
 
-    def _end_one_watch(self) -> None:
+    def _evict_watch(self) -> None:
         """Make room for another: a silent watch goes, else the oldest call that need not stay."""
         silent = (watch for watch in self._watches if watch.answered)
         watch = next(silent, self._watches[OLDEST_WATCHES_KEPT])
@@ -130,12 +130,12 @@
             watch.end()
         self._watches.clear()
 
-    def _begin_fetch(self) -> None:
+    def _start_fetch(self) -> None:
         if self._fetch is not None:
             self._fetch.end()
-        self._fetch = self._begin(Query.FETCH)
+        self._fetch = self._start_call(Query.FETCH)
 
-    def _move(self, peer: HostPort) -> None:
+    def _change_address(self, peer: HostPort) -> None:
         """Ask at another address at once; the list that is held stays until the new one comes.
 
         Revisions may be counted otherwise there, so the whole list is asked for.
@@ -144,17 +144,17 @@
         # What the new address has counts as told sooner, as if the list were older by the difference.
         self._confirmed_at = time.monotonic() - (NOTIFICATION_DEADLINE - NOTIFICATION_DEADLINE_AFTER_MOVE_S)
         self._end_watches()
-        if self._wanted:
-            self._hold_watch()
+        if self._subscribed:
+            self._ensure_watch()
         if self._fetch is not None and not self._fetch.ended:
-            self._begin_fetch()
+            self._start_fetch()
 
-    def _log(self, event: str, **fields: Any) -> None:
+    def _log_call(self, event: str, **fields: Any) -> None:
         """Log a call; in a long outage most of them at the level for debugging."""
-        write = log.info
-        if self._failures > LOGGED_FAILURES and self._failures % LOGGED_EVERY:
-            write = log.debug
-        write(event, **fields)
+        log_method = log.info
+        if self._failures > LOG_ALL_FAILURES_UP_TO and self._failures % LOG_EVERY_NTH_FAILURE:
+            log_method = log.debug
+        log_method(event, **fields)
 
     # ---- what calls tell ----
 
@@ -163,9 +163,9 @@
         """Seconds since the list that is held was last known to be the newest."""
         return time.monotonic() - self._confirmed_at
 
-    def on_object(self, call: ListCall, said: Any) -> None:
+    def on_object(self, call: ListCall, raw: Any) -> None:
         """Hand on what one object says. Only then is it known: a watch ended meanwhile is told it again."""
-        update = self._reader.parse_update(said)
+        update = self._reader.parse_update(raw)
         not_offered = [e.address for e in update.endpoints if e.state is not api.EndpointState.READY]
         log.info(
             "list_updated",
@@ -173,12 +173,14 @@
             scope=update.scope.name,
             revision=update.version,
             lines=len(update.endpoints),
-            not_offered=[format_host_port(to_host_port(address)) for address in not_offered[:MOST_NAMED]],
+            not_offered=[
+                format_host_port(to_host_port(address)) for address in not_offered[:MAX_LOGGED_ENDPOINTS]
+            ],
         )
         self._post(update)
         self._revision = update.version
 
-    def on_word(self, call: ListCall) -> None:
+    def on_confirmed(self, call: ListCall) -> None:
         """The list is known to be the newest; other calls for a watch are not needed any more."""
         self._counters.raise_to("list_age_longest_ms", round(self._list_age * 1000.0))
         self._confirmed_at = time.monotonic()
@@ -194,16 +196,16 @@
         """Tell the module, which decides when to ask again."""
         self._counters.add("list_calls_failed")
         self._failures += 1
-        self._log(
+        self._log_call(
             "list_call_failed",
             call=call.number,
             reason=failure.reason,
-            unheard_s=round(failure.unheard, 3),
+            unheard_s=round(failure.silent_for, 3),
             list_age_s=round(self._list_age, 3),
         )
         self._post(
             api.EndpointsUpdated(
-                api.UpdateScope.FAILED, self._revision, (), failure.unheard, list_age=self._list_age
+                api.UpdateScope.FAILED, self._revision, (), failure.silent_for, list_age=self._list_age
             )
         )
         if self._pushed and call in self._watches:
