--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -1,4 +1,4 @@
-"""The actor of the endpoint list: asks discovery when told to, and hands on what it says."""
+"""The actor that keeps the endpoint list: calls discovery when told to and passes its updates on."""
 
 import random
 import time
@@ -18,25 +18,24 @@
 from irisstack.node.list_reader import ListReader
 
 WATCH_RETRY_PAUSE_S = 0.08
-"""Seconds, on average, until a watch that ended or is late is held anew, where the list comes unasked."""
+"""Mean seconds before a watch that ended or is overdue is retried, where lists are pushed."""
 MAX_WATCHES = 4
-"""Calls for a watch that may be out at once."""
+"""Concurrent watch calls."""
 OLDEST_WATCHES_KEPT = 2
-"""Of these, so many of the oldest stay: a service that works through calls in turn comes to them first."""
+"""The oldest of these, which are not evicted: a service that works in order answers them first."""
 NOTIFICATION_DEADLINE_AFTER_MOVE_S = 4.0
-"""Seconds, in place of `NOTIFICATION_DEADLINE`, after which news of the list counts as told once
-discovery has moved."""
+"""Seconds that replace `NOTIFICATION_DEADLINE` when the address of discovery changes."""
 MAX_LOGGED_ENDPOINTS = 8
-"""Endpoints that one line of the log names at most."""
+"""Endpoints named in one log line."""
 LOG_ALL_FAILURES_UP_TO, LOG_EVERY_NTH_FAILURE = 5, 50
-"""Calls without a word in between whose failures are all logged, and which of the later ones are."""
+"""Consecutive failures: all up to the first number are logged at info, then each nth; the rest at debug."""
 
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, frozen=True)
 class AddressChanged:
-    """Discovery is at another address from now on."""
+    """The address of discovery has changed to `peer`."""
 
     peer: HostPort
 
@@ -44,8 +43,8 @@
 class Discovery:
     """Holds a watch and at most one fetch.
 
-    While a call for a watch is late, another may be out beside it; the first that brings a word is kept.
-    Where the list comes unasked (`pushed`) the module never subscribes, and a watch is held all along.
+    While a watch call is overdue, another may run in parallel; the first that confirms the list is kept.
+    Where lists are pushed (`pushed`), the decision module never subscribes and a watch is held all the time.
     """
 
     def __init__(
@@ -64,15 +63,15 @@
         self._revision = revision
         self._pushed = pushed
         self._calls_started = 0
-        self._failures = 0  # since the last word
-        self._confirmed_at = time.monotonic()  # when the list that is held was last known to be the newest
+        self._failures = 0  # since the list was last confirmed
+        self._confirmed_at = time.monotonic()  # when the held list was last known to be the newest
         self._watches: list[ListCall] = []
         self._fetch: ListCall | None = None
-        self._subscribed = False  # the module's last word on the watch
+        self._subscribed = False  # whether the decision module wants a watch
         self.mailbox: Queue[api.Action | AddressChanged] = Queue(64)
 
     def run(self) -> None:
-        """Follow the mailbox. Nothing is handed on from here: the way to the module may be full."""
+        """Process the mailbox. Never posts from here, since the decision module's mailbox may be full."""
         if self._pushed:
             self.mailbox.put(api.Subscribe(True))
         while True:
@@ -110,7 +109,7 @@
         return ListCall(self._calls_started, self._peer, query, self._revision, self)
 
     def _ensure_watch(self) -> None:
-        """Begin a call for a watch, unless there is one that is not late: that is as good as another."""
+        """Start a watch call, unless one is running that is not overdue."""
         self._watches = [watch for watch in self._watches if not watch.ended]
         if any(watch.on_time for watch in self._watches):
             return
@@ -119,7 +118,7 @@
         self._watches.append(self._start_call(Query.WATCH))
 
     def _evict_watch(self) -> None:
-        """Make room for another: a silent watch goes, else the oldest call that need not stay."""
+        """Make room for another watch: end one that fell silent, else the oldest that may be evicted."""
         silent = (watch for watch in self._watches if watch.answered)
         watch = next(silent, self._watches[OLDEST_WATCHES_KEPT])
         self._watches.remove(watch)
@@ -136,12 +135,12 @@
         self._fetch = self._start_call(Query.FETCH)
 
     def _change_address(self, peer: HostPort) -> None:
-        """Ask at another address at once; the list that is held stays until the new one comes.
+        """Call the new address at once; the held list stays in use until the new one arrives.
 
-        Revisions may be counted otherwise there, so the whole list is asked for.
+        Revisions may be numbered differently there, so the whole list is requested.
         """
         self._peer, self._revision = peer, 0
-        # What the new address has counts as told sooner, as if the list were older by the difference.
+        # The notification deadline is earlier after a move: backdate the list by the difference.
         self._confirmed_at = time.monotonic() - (NOTIFICATION_DEADLINE - NOTIFICATION_DEADLINE_AFTER_MOVE_S)
         self._end_watches()
         if self._subscribed:
@@ -150,21 +149,24 @@
             self._start_fetch()
 
     def _log_call(self, event: str, **fields: Any) -> None:
-        """Log a call; in a long outage most of them at the level for debugging."""
+        """Log an event of a call; in a long outage, most of them at debug level."""
         log_method = log.info
         if self._failures > LOG_ALL_FAILURES_UP_TO and self._failures % LOG_EVERY_NTH_FAILURE:
             log_method = log.debug
         log_method(event, **fields)
 
-    # ---- what calls tell ----
+    # ---- results of calls ----
 
     @property
     def _list_age(self) -> float:
-        """Seconds since the list that is held was last known to be the newest."""
+        """Seconds since the held list was last known to be the newest."""
         return time.monotonic() - self._confirmed_at
 
     def on_object(self, call: ListCall, raw: Any) -> None:
-        """Hand on what one object says. Only then is it known: a watch ended meanwhile is told it again."""
+        """Post the update in one JSON object.
+
+        The revision is stored only then: if the call is ended meanwhile, the next one requests it again.
+        """
         update = self._reader.parse_update(raw)
         not_offered = [e.address for e in update.endpoints if e.state is not api.EndpointState.READY]
         log.info(
@@ -181,7 +183,7 @@
         self._revision = update.version
 
     def on_confirmed(self, call: ListCall) -> None:
-        """The list is known to be the newest; other calls for a watch are not needed any more."""
+        """The list is known to be the newest; the other watch calls are no longer needed."""
         self._counters.raise_to("list_age_longest_ms", round(self._list_age * 1000.0))
         self._confirmed_at = time.monotonic()
         self._failures = 0
@@ -193,7 +195,7 @@
         self._watches = [call]
 
     def on_failure(self, call: ListCall, failure: CallFailure) -> None:
-        """Tell the module, which decides when to ask again."""
+        """Notify the decision module, which decides when to call again."""
         self._counters.add("list_calls_failed")
         self._failures += 1
         self._log_call(
@@ -209,6 +211,6 @@
             )
         )
         if self._pushed and call in self._watches:
-            # What is had at the service's return counts as told at once, so it is looked for often.
+            # An update counts as notified as soon as the service is back, so the retry interval is short.
             gevent.sleep(random.uniform(0.5, 1.5) * WATCH_RETRY_PAUSE_S)
             self.mailbox.put(api.Subscribe(True))
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -1,4 +1,4 @@
-"""One call for the endpoint list: a fetch of the whole list, or a watch on its changes."""
+"""One call for the endpoint list: a fetch of the whole list, or a watch for changes."""
 
 import json
 import math
@@ -18,31 +18,31 @@
 from irisstack.node.objects import ObjectStream
 
 ANSWER_OVERDUE_AFTER_S = list_refresh.ANSWER_OVERDUE_AFTER
-"""Seconds from its begin after which a call without a word is late: another may be begun beside it."""
+"""Seconds from its start after which an unanswered call is overdue: another may be started in parallel."""
 PARTIAL_ANSWER_OVERDUE_AFTER_S = 1.8
-"""The same for one whose bytes are coming."""
+"""The same in seconds while bytes of the answer are arriving."""
 MAX_BYTE_GAP_S = 0.6
-"""Seconds from a byte to the next for which they count as coming."""
+"""Seconds between bytes up to which they count as arriving."""
 WATCH_OVERDUE_AFTER_S = 2.6
-"""Seconds without a word after which a watch is late; one is due every 2 s.
+"""Seconds without an object or a heartbeat after which a watch is overdue; heartbeats come every 2 s.
 
-What is missed from the last word on has to be here 6 s later, also where the next call is late too.
+An update missed since the last one must arrive within 6 s of it, even if the next call is overdue too.
 """
 SILENCE_TIMEOUT_S = 3.5
-"""Seconds for a connect, and without a word of an answer that has begun, after which a call ends."""
+"""Seconds after which a call ends: to connect, and once an answer began, without an object or a heartbeat."""
 ANSWER_TIMEOUT_S = 120.0
-"""Seconds without a byte after which a call ends.
+"""Seconds after which a call that has not received a byte ends.
 
-A service that works through calls in turn comes to this one sooner than to any that is made later.
+Long, because a service that works through calls in order answers this one before any later call.
 """
 OVERDUE_CHECK_INTERVAL_S = 0.2
-"""Seconds between two looks at a call that is late, or has bytes that nobody has read yet."""
+"""Seconds between checks of a call that is overdue or has unread bytes."""
 
 log = structlog.get_logger()
 
 
 class Query(Enum):
-    """What is asked."""
+    """The kind of call."""
 
     FETCH = "fetch"
     WATCH = "watch"
@@ -50,34 +50,34 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFailure:
-    """Why a call brings nothing any more, or not in time."""
+    """Why a call failed or is overdue."""
 
     silent_for: float
-    """Seconds since discovery, which took the call, was heard; 0 if it was not reached."""
+    """Seconds since the last object or heartbeat, or else since the start of the call; 0 if not connected."""
     reason: str
 
 
 class Listener(Protocol):
-    """Who made the call."""
+    """The owner of a call."""
 
     def on_object(self, call: "ListCall", raw: Any) -> None:
-        """Discovery has said this; raises if it is no list."""
+        """A JSON object has arrived; raises if it is not a list update."""
 
     def on_confirmed(self, call: "ListCall") -> None:
-        """Discovery was heard in full: the list that the call has brought so far is the newest."""
+        """An object or a heartbeat has arrived: the list as received by this call is the newest."""
 
     def on_failure(self, call: "ListCall", failure: CallFailure) -> None:
-        """The call has failed, or is late. It is told once, and anew only after a word in between."""
+        """The call has failed or is overdue. Reported once, and again only after `on_confirmed`."""
 
 
 class ListCall:
-    """Runs in two greenlets: one reads, the other tells when the call is late.
+    """Runs in two greenlets: one reads, the other reports when the call is overdue.
 
-    Bytes that make no whole object and no empty line are no word, however many come.
+    Only a whole object or an empty line (the heartbeat) confirms the list, not just any bytes.
     """
 
     def __init__(self, number: int, peer: HostPort, query: Query, revision: int, listener: Listener) -> None:
-        """`number` names the call in the log; a watch is told what has changed since `revision`."""
+        """`number` identifies the call in the log; a watch receives the changes since `revision`."""
         self.number = number
         self.started_at = self._confirmed_at = time.monotonic()
         self._peer = peer
@@ -91,21 +91,21 @@
         self._answer_started_at: float | None = None
         self._overdue = False
         self.ended = False
-        """Whether nothing is told of the call any more."""
+        """Whether the call is over and its listener is no longer called."""
         self._greenlets = [gevent.spawn(self._run), gevent.spawn(self._report_overdue)]
 
     @property
     def on_time(self) -> bool:
-        """Whether the call goes on and is not late."""
+        """Whether the call is running and not overdue."""
         return not self.ended and not self._overdue
 
     @property
     def answered(self) -> bool:
-        """Whether a word of the answer has come."""
+        """Whether an object or a heartbeat has arrived."""
         return self._answered
 
     def end(self) -> None:
-        """End the call; nothing is told of it any more."""
+        """End the call; its listener is no longer called."""
         self.ended = True
         gevent.killall(self._greenlets, block=False)
 
@@ -114,7 +114,7 @@
     def _run(self) -> None:
         try:
             reason = self._request()
-        except Exception as error:  # whatever it is, the caller must hear of it, or it never asks again
+        except Exception as error:  # any error must reach the listener, or it would never call again
             reason = repr(error)
         finally:
             if self._connection is not None:
@@ -127,11 +127,11 @@
 
     @property
     def _silent_for(self) -> float:
-        # A connection that does not come up has not reached the service, however late it is.
+        # A connection that is not established has not reached the service, however overdue the call is.
         return time.monotonic() - self._confirmed_at if self._connection is not None else 0.0
 
     def _request(self) -> str:
-        """Make the call; returns why it failed or how a watch ended; empty for a fetch that was answered."""
+        """Make the call; returns why it failed or how the watch ended, empty for a fetch that succeeded."""
         self._connection = sockets.connect(self._peer, SILENCE_TIMEOUT_S)
         query = f"?watch=1&from={self._revision}" if self._query is Query.WATCH else ""
         self._connection.sendall(http.request("GET", f"/v1/servers{query}", format_host_port(self._peer)))
@@ -155,7 +155,7 @@
         return answer
 
     def _read_watch(self) -> int:
-        """Hand on each object of a watch until it ends; returns the status of its answer, 0 if none came."""
+        """Pass on each object of a watch until it ends; returns the answer's status, 0 if there was none."""
         reader, objects = http.AnswerReader(http.MAX_LIST), ObjectStream(http.MAX_LIST)
         while self._receive():
             answer = reader.advance(self._buffer)
@@ -172,9 +172,9 @@
         return reader.message.status
 
     def _receive(self) -> int:
-        """Read once; raises `TimeoutError` when no word has come for too long and nothing is unread."""
+        """Read once; raises `TimeoutError` if the call's time is up and no bytes are waiting to be read."""
         assert self._connection is not None
-        gevent.sleep(0)  # a flood must not keep the others from their turn
+        gevent.sleep(0)  # yields, so that a flood of bytes does not starve other greenlets
         received = sockets.receive_before(self._connection, self._buffer, self._ends_at)
         self._last_bytes_at = time.monotonic()
         if self._answer_started_at is None:
@@ -183,7 +183,7 @@
 
     @property
     def _ends_at(self) -> float:
-        """When the call ends unless more comes."""
+        """When the call ends unless more data arrives."""
         if self._answer_started_at is None:
             return self.started_at + ANSWER_TIMEOUT_S
         return max(self._confirmed_at, self._answer_started_at) + SILENCE_TIMEOUT_S
@@ -203,10 +203,10 @@
             log.info("list_call_answered", call=self.number, after_s=after_s)
         self._listener.on_confirmed(self)
 
-    # ---- the time ----
+    # ---- overdue calls ----
 
     def _report_overdue(self) -> None:
-        """Tell when the call is late, and again when it is so after it has been heard once more."""
+        """Report a failure each time the call becomes overdue."""
         while not self.ended:
             remaining = self._overdue_at - time.monotonic()
             if remaining > 0.0:
@@ -215,7 +215,7 @@
                 gevent.sleep(OVERDUE_CHECK_INTERVAL_S)
             else:
                 self._overdue = True
-                self._listener.on_failure(self, CallFailure(self._silent_for, "late"))
+                self._listener.on_failure(self, CallFailure(self._silent_for, "overdue"))
 
     @property
     def _overdue_at(self) -> float:
@@ -226,5 +226,5 @@
 
     @property
     def _has_unread_bytes(self) -> bool:
-        """Whether bytes lie there that came while this process stood still."""
+        """Whether bytes wait in the socket that arrived while this process was stalled."""
         return self._connection is not None and not sockets.quiet(self._connection)
