--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -37,7 +37,7 @@
 class AddressChanged:
     """The address of discovery has changed to `peer`."""
 
-    peer: HostPort
+    address: HostPort
 
 
 class Discovery:
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        peer: HostPort,
+        address: HostPort,
         reader: ListReader,
         post: Callable[[api.EndpointsUpdated], None],
         revision: int,
@@ -57,7 +57,7 @@
         counters: Counters | None = None,
     ) -> None:
         self._counters = counters or Counters()
-        self._peer = peer
+        self._address = address
         self._reader = reader
         self._post = post
         self._revision = revision
@@ -85,8 +85,8 @@
                 case api.FetchEndpoints():
                     if self._fetch is None or not self._fetch.on_time:
                         self._start_fetch()
-                case AddressChanged(peer):
-                    self._change_address(peer)
+                case AddressChanged(address):
+                    self._change_address(address)
 
     def close(self) -> None:
         """End all calls."""
@@ -106,7 +106,7 @@
             revision=self._revision,
             list_age_s=round(self._list_age, 3),
         )
-        return ListCall(self._calls_started, self._peer, query, self._revision, self)
+        return ListCall(self._calls_started, self._address, query, self._revision, self)
 
     def _ensure_watch(self) -> None:
         """Start a watch call, unless one is running that is not overdue."""
@@ -134,12 +134,12 @@
             self._fetch.end()
         self._fetch = self._start_call(Query.FETCH)
 
-    def _change_address(self, peer: HostPort) -> None:
+    def _change_address(self, address: HostPort) -> None:
         """Call the new address at once; the held list stays in use until the new one arrives.
 
         Revisions may be numbered differently there, so the whole list is requested.
         """
-        self._peer, self._revision = peer, 0
+        self._address, self._revision = address, 0
         # The notification deadline is earlier after a move: backdate the list by the difference.
         self._confirmed_at = time.monotonic() - (NOTIFICATION_DEADLINE - NOTIFICATION_DEADLINE_AFTER_MOVE_S)
         self._end_watches()
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -76,11 +76,13 @@
     Only a whole object or an empty line (the heartbeat) confirms the list, not just any bytes.
     """
 
-    def __init__(self, number: int, peer: HostPort, query: Query, revision: int, listener: Listener) -> None:
+    def __init__(
+        self, number: int, address: HostPort, query: Query, revision: int, listener: Listener
+    ) -> None:
         """`number` identifies the call in the log; a watch receives the changes since `revision`."""
         self.number = number
         self.started_at = self._confirmed_at = time.monotonic()
-        self._peer = peer
+        self._address = address
         self._query = query
         self._revision = revision
         self._listener = listener
@@ -132,9 +134,9 @@
 
     def _request(self) -> str:
         """Make the call; returns why it failed or how the watch ended, empty for a fetch that succeeded."""
-        self._connection = sockets.connect(self._peer, SILENCE_TIMEOUT_S)
+        self._connection = sockets.connect(self._address, SILENCE_TIMEOUT_S)
         query = f"?watch=1&from={self._revision}" if self._query is Query.WATCH else ""
-        self._connection.sendall(http.request("GET", f"/v1/servers{query}", format_host_port(self._peer)))
+        self._connection.sendall(http.request("GET", f"/v1/servers{query}", format_host_port(self._address)))
         if self._query is Query.WATCH:
             return f"ended with status {self._read_watch()}"
         answer = self._read_answer()
--- a/irisstack/node/list_reader.py
+++ b/irisstack/node/list_reader.py
@@ -64,13 +64,13 @@
         self._kind_indexes = {kind.name: i for i, kind in enumerate(settings.kinds)}
         for i, name in enumerate(settings.zones):
             self._zone_numbers.setdefault(name, i)
-        readable = [
+        now_known = [
             member for member in self._waiting_members.values() if member["flavor"] in self._kind_indexes
         ]
-        if not readable:
+        if not now_known:
             return None
         return api.EndpointsUpdated(
-            api.UpdateScope.DELTA, self._revision, tuple(self._parse_members(readable))
+            api.UpdateScope.DELTA, self._revision, tuple(self._parse_members(now_known))
         )
 
     def _parse_members(self, members: Iterable[Mapping[str, Any]]) -> list[api.Endpoint]:
@@ -85,7 +85,7 @@
                 # That an endpoint drains or is gone is heeded all the same: all else of it is known.
                 parsed = self._parse_state_change(member)
             if parsed is not None:
-                endpoints.extend(self._place_endpoint(*parsed))
+                endpoints.extend(self._update_addresses(*parsed))
         return endpoints
 
     def _parse_state_change(self, member: Any) -> tuple[str, api.Endpoint] | None:
@@ -138,7 +138,7 @@
             self._clock.to_monotonic(started_at) if started_at else None,
         )
 
-    def _place_endpoint(self, id_: str, endpoint: api.Endpoint) -> list[api.Endpoint]:
+    def _update_addresses(self, id_: str, endpoint: api.Endpoint) -> list[api.Endpoint]:
         """What a line means place by place: an address under another id is another endpoint.
 
         The one there before is gone then, and what the list may still say of it means that place no more.
