--- a/irisstack/node/list_reader.py
+++ b/irisstack/node/list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the endpoint list's JSON into the decision module's terms, line by line."""
+"""Parses the endpoint list's JSON into the types of the decision module's interface."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -17,31 +17,34 @@
     "DELETED": api.EndpointState.GONE,
 }
 FIRST_UNNAMED_ZONE = 1 << 16
-"""The number of the first zone that the settings do not name; theirs stay below, also as zones are added."""
+"""Zones that the settings do not name are numbered from here; zones added to the settings stay below."""
 
 log = structlog.get_logger()
 
 
 class ListReader:
-    """The list's JSON as `EndpointsUpdated`; a line that cannot be read is logged and passed over."""
+    """Parses list updates into `EndpointsUpdated`; an entry that cannot be parsed is logged and skipped."""
 
     def __init__(
         self, settings: api.Settings, max_waiting: int = 0, clock: RecordClock | None = None
     ) -> None:
-        """`clock` is what the list's Unix times are read by; by default the wall clock as it is now."""
+        """`max_waiting` limits the entries that are kept until their kind is known.
+
+        `clock` converts the list's Unix times; by default it is the wall clock as of now.
+        """
         self._clock = clock or resume(None)
         self._kind_indexes = {kind.name: i for i, kind in enumerate(settings.kinds)}
         self._max_waiting = max_waiting
-        self._waiting_members: dict[str, Mapping[str, Any]] = {}  # lines of kinds not known yet, by id
+        self._waiting_members: dict[str, Mapping[str, Any]] = {}  # entries of unknown kinds, by id
         self._revision = 0
         self._zone_numbers = {name: i for i, name in enumerate(settings.zones)}
-        self._endpoints_by_id: dict[str, api.Endpoint] = {}  # by id, as last read
-        self._ids_by_address: dict[api.Address, str] = {}  # the id that stands for each address
+        self._endpoints_by_id: dict[str, api.Endpoint] = {}  # as last parsed
+        self._ids_by_address: dict[api.Address, str] = {}  # the id that owns each address
 
     def parse_update(
         self, raw: Mapping[str, Any], scope: api.UpdateScope | None = None
     ) -> api.EndpointsUpdated:
-        """One object of discovery's; raises `ValueError` or `KeyError` if it is none."""
+        """Parse one JSON object of discovery; raises `ValueError` or `KeyError` if it is no list update."""
         revision, members = int(raw["revision"]), raw["members"]
         if scope is None:
             scope = api.UpdateScope.FULL if raw["complete"] else api.UpdateScope.DELTA
@@ -49,7 +52,7 @@
             self._waiting_members.clear()
         self._revision = revision
         endpoints = self._parse_members(members)
-        if scope is not api.UpdateScope.DELTA:  # what the whole list leaves out is forgotten
+        if scope is not api.UpdateScope.DELTA:  # forget what a full list leaves out
             listed = {endpoint.address for endpoint in endpoints}
             self._endpoints_by_id = {
                 id_: known for id_, known in self._endpoints_by_id.items() if known.address in listed
@@ -60,7 +63,7 @@
         return api.EndpointsUpdated(scope, revision, tuple(endpoints))
 
     def apply_settings(self, settings: api.Settings) -> api.EndpointsUpdated | None:
-        """Go by other settings; returns what can be read now of the lines that waited for their kind."""
+        """Use new settings; returns the waiting entries whose kind is now known, `None` if there are none."""
         self._kind_indexes = {kind.name: i for i, kind in enumerate(settings.kinds)}
         for i, name in enumerate(settings.zones):
             self._zone_numbers.setdefault(name, i)
@@ -80,16 +83,16 @@
                 if self._keep_until_kind_known(member):
                     continue
                 parsed: tuple[str, api.Endpoint] | None = str(member["id"]), self._parse_endpoint(member)
-            except Exception as error:  # a single bad line must not cost the rest of the list
+            except Exception as error:  # one bad entry must not cost the rest of the list
                 log.warning("list_line_unread", line=str(member)[:200], error=repr(error))
-                # That an endpoint drains or is gone is heeded all the same: all else of it is known.
+                # A change to draining or gone still takes effect, since the rest of the endpoint is known.
                 parsed = self._parse_state_change(member)
             if parsed is not None:
                 endpoints.extend(self._update_addresses(*parsed))
         return endpoints
 
     def _parse_state_change(self, member: Any) -> tuple[str, api.Endpoint] | None:
-        """What an unreadable line still says of an endpoint that is known, if that drains or is gone."""
+        """Parse only the id and the phase: a known endpoint that drains or is gone, else `None`."""
         if not isinstance(member, Mapping):
             return None
         id_, state = str(member.get("id")), STATES_BY_PHASE.get(str(member.get("phase")))
@@ -99,7 +102,7 @@
         return id_, replace(known, state=state)
 
     def _keep_until_kind_known(self, member: Mapping[str, Any]) -> bool:
-        """Whether a line is kept until its kind is known; the newest of each id counts."""
+        """Keep an entry of an unknown kind, the newest of each id; returns whether it was kept."""
         if not self._max_waiting:
             return False
         id_, state = str(member["id"]), STATES_BY_PHASE[member["phase"]]
@@ -115,11 +118,11 @@
         return True
 
     def _zone_number(self, name: object) -> int:
-        """A zone's number. One that the settings do not name gets its own: it must not pass for another."""
+        """A zone's number. A zone that the settings do not name gets its own, so that zones stay distinct."""
         return self._zone_numbers.setdefault(str(name), FIRST_UNNAMED_ZONE + len(self._zone_numbers))
 
     def _parse_endpoint(self, member: Mapping[str, Any]) -> api.Endpoint:
-        """What a line says; raises what a field that cannot be read raises."""
+        """Parse one entry; raises whatever the parsing of a field raises."""
         state = STATES_BY_PHASE[member["phase"]]
         known = self._endpoints_by_id.get(str(member["id"]))
         if state is api.EndpointState.GONE and "host_port" not in member and known is not None:
@@ -139,9 +142,10 @@
         )
 
     def _update_addresses(self, id_: str, endpoint: api.Endpoint) -> list[api.Endpoint]:
-        """What a line means place by place: an address under another id is another endpoint.
+        """Record an entry; returns the changes by address. An address under a new id is a new endpoint.
 
-        The one there before is gone then, and what the list may still say of it means that place no more.
+        The previous endpoint at that address is then gone, and a later drain or removal under its id does not
+        affect the address.
         """
         address, state = endpoint.address, endpoint.state
         known = self._endpoints_by_id.get(id_)
