--- a/irisstack/choice.py
+++ b/irisstack/choice.py
@@ -77,7 +77,7 @@
 
 def _longest_wait(settings: api.Settings) -> float:
     """Seconds for which a message may wait for a destination that is down, a window at the least."""
-    if settings.may_tell_peers:  # the first success is told to all, which ends the wait
+    if settings.may_gossip:  # the first success is told to all, which ends the wait
         return FAILURE_WINDOW
     return max(FAILURE_WINDOW, *(kind.deadline for kind in settings.classes))
 
@@ -160,7 +160,7 @@
 
     def _record_failure(self, limit: BreakerScope, reason: Outcome | None, from_gossip: bool = False) -> bool:
         """Count a refusal or an error; the third in the window opens the breaker. Returns whether it did."""
-        now, gossips = self._now, self._settings.may_tell_peers
+        now, gossips = self._now, self._settings.may_gossip
         breaker = self._breakers.setdefault(limit, CircuitBreaker())
         if now < breaker.open_until:
             return False  # landing while open: neither counts nor extends
@@ -215,11 +215,9 @@
 
     def _newly_shut(self, breaker: CircuitBreaker) -> bool:
         """Whether calls were turned away, or are put off, for longer than a busy destination refuses all."""
-        seldom = (
-            not self._settings.may_tell_peers and breaker.next_at >= self._now + FAILURE_WINDOW
-        )  # few calls
+        seldom = not self._settings.may_gossip and breaker.next_at >= self._now + FAILURE_WINDOW  # few calls
         put_off = max(breaker.open_until, breaker.next_at) if seldom else breaker.open_until
-        since = self._now if self._settings.may_tell_peers else breaker.unreachable_since
+        since = self._now if self._settings.may_gossip else breaker.unreachable_since
         return breaker.cold_until < NEVER and max(self._now, put_off) > since + OUTAGE_AFTER
 
     def _success(self, limit: BreakerScope, scarce: bool) -> None:
@@ -232,7 +230,7 @@
             self._broadcast(GOSSIP_SUCCESS, limit)
             breaker.failures, breaker.shared = breaker.failures - breaker.shared, 0
         if back:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
             limit.refused_at.clear()  # a shut one shows no limit, one that was down no full table
         if scarce:
             self._breakers[limit] = breaker
@@ -245,7 +243,7 @@
             )
 
     def _broadcast(self, what: bytes, limit: BreakerScope) -> None:
-        if self._settings.may_tell_peers:
+        if self._settings.may_gossip:
             self._actions.append(api.TellPeer(None, what + limit.key))
 
     def _on_gossip(self, data: bytes) -> bool:
@@ -267,7 +265,7 @@
             NEVER,
         )
         if breaker.cold_until == NEVER:
-            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.cold_seconds, 0.0
+            breaker.cold_until, breaker.slowdown_steps = self._now + self._settings.warmup_seconds, 0.0
             self._draw_first_turn(breaker)  # what was saved up before the success would leave all at once
             return True
         return False
@@ -333,23 +331,27 @@
 
     def _budget(self, breaker: CircuitBreaker, limit: BreakerScope) -> float:
         """This sender's part of the calls a second that a destination coming back can bear by now."""
-        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.cold_seconds or 1.0))
-        share = self._settings.cold_start_share + (1.0 - self._settings.cold_start_share) * warm
+        warm = max(0.0, 1.0 - (breaker.cold_until - self._now) / (self._settings.warmup_seconds or 1.0))
+        share = self._settings.warmup_start_share + (1.0 - self._settings.warmup_start_share) * warm
         part = self._rate(limit)
         if breaker.cold_until == NEVER:  # a hot destination: all flows together may be far above its limit
             even = (limit.reported_limit or limit.listed or NEVER) / self._settings.senders
             # Each sender with a message in line takes a part; the lines hold what came in a message's life.
             part = min(self._flow(limit), max(1.0 / self._longest_wait, MAX_EVEN_SHARE_MULTIPLE * even))
-        return part * share * self._settings.tip_multiple * WARMUP_BUDGET_MARGIN
+        return part * share * self._settings.overload_multiple * WARMUP_BUDGET_MARGIN
 
     # ---- messages ----
 
     def _received(self, event: api.MessageReceived) -> None:
         index, kind = event.message_class, self._settings.classes[event.message_class]
-        aim_at = min(event.due, event.due - kind.deadline + kind.aim)
+        aim_at = min(event.due, event.due - kind.deadline + kind.latency_target)
         key = event.key if kind.ordered else None
         message = Message(event.message, index, kind, event.destination, event.due, aim_at, key)
-        message.attempts, message.maybe_ran, message.ran_in = event.attempts, event.maybe_ran, event.ran_in
+        message.attempts, message.maybe_ran, message.ran_in = (
+            event.attempts,
+            event.may_have_run_at,
+            event.may_have_run_zone,
+        )
         self._messages[event.message] = message
         self._held += 1
         destination = self._destination(event.destination)
@@ -360,13 +362,13 @@
         heappush(self._expiry, (self._latest_attempt_start(message), message.id))
         if line[0] is message:
             self._queue(message)
-        if not message.over and self._held >= self._settings.max_held:
+        if not message.over and self._held >= self._settings.max_pending:
             self._make_room()
 
     def _usual(self, message: Message) -> float:
         """How long a call of this class takes at this destination."""
         return self._destination(message.destination).usual.get(
-            message.class_index, message.message_class.aim * INITIAL_LATENCY_SHARE
+            message.class_index, message.message_class.latency_target * INITIAL_LATENCY_SHARE
         )
 
     def _repeatable_until(self, message: Message) -> float:
@@ -385,7 +387,7 @@
     def _latest_attempt_start(self, message: Message) -> float:
         """The last time at which a further attempt is allowed and a usual call still fits."""
         repeat = (
-            self._repeatable_until(message) - self._settings.connect_timeout - self._settings.tick
+            self._repeatable_until(message) - self._settings.connect_timeout - self._settings.clock_resolution
         )  # as it leaves
         return min(message.due - self._usual(message), repeat)
 
@@ -552,7 +554,9 @@
             if outcome is Outcome.OK:
                 # A gap beyond the aim would cost more than the refusals that it spares.
                 scarce = limit.reported_limit > 0.0 and report.get("x0", 1.0) < LOW_REMAINING_SHARE
-                self._success(limit, scarce and self._rate(limit) * message.message_class.aim >= 1.0)
+                self._success(
+                    limit, scarce and self._rate(limit) * message.message_class.latency_target >= 1.0
+                )
                 since = limit.refused_at.get(route, NEVER)
                 if call.sent >= since and self._crowded_until < since + CROWDED_DURATION:
                     self._crowded_until = since + CROWDED_DURATION
@@ -588,7 +592,7 @@
         )  # by a limit used up
         if event.retry_after:
             self._breakers[limit] = breaker
-            self._open(breaker, limit.destination, now + event.retry_after + self._settings.tick)
+            self._open(breaker, limit.destination, now + event.retry_after + self._settings.clock_resolution)
         elif outcome is Outcome.FULL and not explained and self._newly_shut(breaker):
             self._open(breaker, limit.destination, now)  # an opening of no length: only the return is paced
 
@@ -762,12 +766,9 @@
         """Whether its next call comes so soon that a connection earns its place in the endpoint's table."""
         # Guards against tables full of idle connections: who holds one is not turned away and never learns.
         destination, senders = self._destination(message.destination), self._settings.senders
-        if (
-            self._settings.may_tell_peers
-            or any(  # a sender that is turned away tells of it, or one may go now
-                e in self._waiting and self._queue_available_at(e) <= self._now
-                for e in destination.lines.values()
-            )
+        if self._settings.may_gossip or any(  # a sender that is turned away tells of it, or one may go now
+            e in self._waiting and self._queue_available_at(e) <= self._now
+            for e in destination.lines.values()
         ):
             return True
         in_use = destination.flow * self._usual(message) / MIN_CONNECTION_UTILIZATION
@@ -789,7 +790,11 @@
         return heappop(line.fresh or line.late)[-1]
 
     def _set_timer(self, wake: float) -> None:
-        for line, late in ((self._overdue, 0.0), (self._resting, 0.0), (self._expiry, self._settings.tick)):
+        for line, late in (
+            (self._overdue, 0.0),
+            (self._resting, 0.0),
+            (self._expiry, self._settings.clock_resolution),
+        ):
             if line:
                 wake = min(wake, line[0][0] + late)
         if wake < self._wake:
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -15,7 +15,7 @@
 from irisstack.node import http, sockets
 from irisstack.node.buffer import Buffer
 from irisstack.node.config import HostPort, format_host_port
-from irisstack.node.objects import ObjectStream
+from irisstack.node.objects import JsonObjectStream
 
 ANSWER_OVERDUE_AFTER_S = list_refresh.ANSWER_OVERDUE_AFTER
 """Seconds from its start after which an unanswered call is overdue: another may be started in parallel."""
@@ -147,10 +147,10 @@
         return ""
 
     def _read_answer(self) -> http.Message:
-        reader = http.AnswerReader(http.MAX_LIST)
+        reader = http.ResponseReader(http.MAX_LIST)
         while (answer := reader.advance(self._buffer)) is None:
             if not self._receive():
-                answer = reader.ended()
+                answer = reader.finish_at_eof()
                 if answer is None:
                     raise ConnectionResetError("the answer ended early")
                 break
@@ -158,7 +158,7 @@
 
     def _read_watch(self) -> int:
         """Pass on each object of a watch until it ends; returns the answer's status, 0 if there was none."""
-        reader, objects = http.AnswerReader(http.MAX_LIST), ObjectStream(http.MAX_LIST)
+        reader, objects = http.ResponseReader(http.MAX_LIST), JsonObjectStream(http.MAX_LIST)
         while self._receive():
             answer = reader.advance(self._buffer)
             status = (answer or reader.message).status
@@ -167,9 +167,9 @@
                 for data in objects.feed(body):
                     self._pass_on(data)
                     self._confirm()
-                if objects.between and b"\n" in body:
+                if objects.between_objects and b"\n" in body:
                     self._confirm()
-            if answer is not None or (reader.head_done and status != 200):
+            if answer is not None or (reader.headers_complete and status != 200):
                 return status
         return reader.message.status
 
@@ -229,4 +229,4 @@
     @property
     def _has_unread_bytes(self) -> bool:
         """Whether bytes wait in the socket that arrived while this process was stalled."""
-        return self._connection is not None and not sockets.quiet(self._connection)
+        return self._connection is not None and not sockets.nothing_to_read(self._connection)
