--- a/irisstack/node/config.py
+++ b/irisstack/node/config.py
@@ -15,10 +15,10 @@
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_DISK_MB = 64.0
-LEAST_DISK_WITH_SETTINGS = 2_000_000
+MIN_DISK_BYTES_WITH_DYNAMIC_SETTINGS = 2_000_000
 """The file of the settings in force takes a part of the folder's room."""
 DEFAULT_SETTINGS_BYTES_PER_S = 11_000
-LEAST_SETTINGS_BYTES_PER_S = 1024
+MIN_SETTINGS_BYTES_PER_S = 1024
 """Below this a whole settings document would take minutes."""
 
 
@@ -69,9 +69,9 @@
     return host, int(port)
 
 
-def format_host_port(peer: HostPort) -> str:
+def format_host_port(address: HostPort) -> str:
     """`host:port`, as a header or a line of the log names it."""
-    host, port = peer
+    host, port = address
     return f"{host}:{port}"
 
 
@@ -113,27 +113,27 @@
         settings = disable_gossip_without_peers(read(raw.section("settings")), peers)
         Reader(known, raw.path("known"))
 
-        def told(variable: str, key: str, default: str | None = None) -> str:
+        def env_or_file(variable: str, key: str, default: str | None = None) -> str:
             return environment.get(variable) or raw.text(key, default)
 
         config = Config(
-            name=told("RELAY_NAME", "name", "node"),
-            listen=parse_host_port(told("RELAY_LISTEN", "listen"), "listen"),
+            name=env_or_file("RELAY_NAME", "name", "node"),
+            listen=parse_host_port(env_or_file("RELAY_LISTEN", "listen"), "listen"),
             discovery=parse_host_port(
                 raw.text("discovery")
                 if reload and raw.value("discovery") is not None
-                else told("RELAY_DISCOVERY", "discovery"),
+                else env_or_file("RELAY_DISCOVERY", "discovery"),
                 "discovery",
             ),
-            state=Path(told("RELAY_STATE", "state")),
-            seed=_seed(raw.text("seed", "0")),
+            state=Path(env_or_file("RELAY_STATE", "state")),
+            seed=_parse_seed(raw.text("seed", "0")),
             sockets=limits.integer("sockets", DEFAULT_SOCKETS),
             disk_bytes=int(limits.number("disk_mb", DEFAULT_DISK_MB) * 1_000_000),
             known=known,
             settings=settings,
             peers=peers,
-            trial=_trial(raw, settings),
-            dynamic_settings=_dynamic_settings(raw),
+            trial=_read_trial(raw, settings),
+            dynamic_settings=_read_dynamic_settings(raw),
         )
     except OSError as error:
         raise ConfigError(f"RELAY_CONFIG: {path} cannot be read: {error.strerror}") from None
@@ -141,7 +141,7 @@
         raise ConfigError(f"RELAY_CONFIG: {path} holds no {file_format(Path(path))}: {error}") from None
     except SettingsError as error:
         raise ConfigError(str(error)) from None
-    _check(config)
+    _validate(config)
     return config
 
 
@@ -150,64 +150,66 @@
     return settings if peers else replace(settings, may_gossip=False)
 
 
-def _trial(raw: Reader, settings: Settings) -> Settings | None:
+def _read_trial(raw: Reader, settings: Settings) -> Settings | None:
     """The settings in force with what stands under `watch` laid over them; lists are taken whole."""
     if raw.value("watch") is None:
         return None
-    over = raw.value("watch")
-    Reader(over, raw.path("watch"))
-    trial = read(Reader(_laid_over(raw.value("settings"), over), raw.path("watch")))
-    if [kind.name for kind in trial.classes] != [kind.name for kind in settings.classes]:
+    overrides = raw.value("watch")
+    Reader(overrides, raw.path("watch"))
+    trial = read(Reader(_merge(raw.value("settings"), overrides), raw.path("watch")))
+    if [message_class.name for message_class in trial.classes] != [
+        message_class.name for message_class in settings.classes
+    ]:
         raise SettingsError("watch.lanes: the classes of settings.lanes are due, in their order")
     return trial
 
 
-def _dynamic_settings(raw: Reader) -> DynamicSettings | None:
+def _read_dynamic_settings(raw: Reader) -> DynamicSettings | None:
     if raw.value("dynamic_settings") is None:
         return None
     if raw.value("watch") is not None:
         raise SettingsError(
             "watch: not together with dynamic_settings: settings on trial need ones that stay"
         )
-    part = raw.section("dynamic_settings")
+    section = raw.section("dynamic_settings")
     members = tuple(
-        parse_host_port(member, f"{part.path('members')}[{i}]")
-        for i, member in enumerate(part.texts("members"))
+        parse_host_port(member, f"{section.path('members')}[{i}]")
+        for i, member in enumerate(section.texts("members"))
     )
     if not members:
-        raise SettingsError(f"{part.path('members')}: at least one host:port is due")
-    prefix = part.text("prefix")
+        raise SettingsError(f"{section.path('members')}: at least one host:port is due")
+    prefix = section.text("prefix")
     if not prefix.endswith("/"):
-        raise SettingsError(f"{part.path('prefix')}: a prefix that ends with '/' is due, not {prefix!r}")
-    bytes_per_s = part.integer("bytes_per_s", DEFAULT_SETTINGS_BYTES_PER_S)
-    if bytes_per_s < LEAST_SETTINGS_BYTES_PER_S:
+        raise SettingsError(f"{section.path('prefix')}: a prefix that ends with '/' is due, not {prefix!r}")
+    bytes_per_s = section.integer("bytes_per_s", DEFAULT_SETTINGS_BYTES_PER_S)
+    if bytes_per_s < MIN_SETTINGS_BYTES_PER_S:
         raise SettingsError(
-            f"{part.path('bytes_per_s')}: {LEAST_SETTINGS_BYTES_PER_S} at least are due, not {bytes_per_s}"
+            f"{section.path('bytes_per_s')}: {MIN_SETTINGS_BYTES_PER_S} at least are due, not {bytes_per_s}"
         )
     return DynamicSettings(members, prefix, bytes_per_s, raw.value("settings"))
 
 
-def _laid_over(below: Any, above: Any) -> Any:
-    if not isinstance(below, Mapping) or not isinstance(above, Mapping):
-        return above
-    return {**below, **{key: _laid_over(below.get(key), value) for key, value in above.items()}}
+def _merge(base_value: Any, override: Any) -> Any:
+    if not isinstance(base_value, Mapping) or not isinstance(override, Mapping):
+        return override
+    return {**base_value, **{key: _merge(base_value.get(key), value) for key, value in override.items()}}
 
 
-def _seed(text: str) -> int:
+def _parse_seed(text: str) -> int:
     try:
         return int(text, 16)
     except ValueError:
         raise ConfigError(f"seed: a hexadecimal number is due, not {text!r}") from None
 
 
-def _check(config: Config) -> None:
+def _validate(config: Config) -> None:
     if not config.state.is_dir() or not os.access(config.state, os.W_OK | os.X_OK):
         raise ConfigError(f"RELAY_STATE: {config.state} is no folder that can be written")
     if config.sockets < 64:
         raise ConfigError(f"limits.sockets: 64 at least are due, not {config.sockets}")
     if config.disk_bytes < 1_000_000:
         raise ConfigError("limits.disk_mb: 1 at least is due")
-    if config.dynamic_settings is not None and config.disk_bytes < LEAST_DISK_WITH_SETTINGS:
+    if config.dynamic_settings is not None and config.disk_bytes < MIN_DISK_BYTES_WITH_DYNAMIC_SETTINGS:
         raise ConfigError("limits.disk_mb: 2 at least are due with dynamic_settings")
     if not config.settings.kinds:
         raise ConfigError("settings.shapes: at least one kind is due")
--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -24,9 +24,9 @@
 
 RECEIVE_BUFFER_BYTES = 16 * 1024
 """What the kernel may hold of an answer that the budget does not allow to be read yet."""
-SLACK_BYTES = 32 * 1024
+PARSER_SLACK_BYTES = 32 * 1024
 """The parsers' own limits lie so far above the one kept here, which tells too long from malformed."""
-LEAST_WAIT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 
 FAILURE_KINDS = {
     etcd.ErrorKind.COMPACTED: FailureKind.COMPACTED,
@@ -43,7 +43,7 @@
         self.kind = kind
 
 
-class _Piece:
+class _PieceReader:
     """Lets a buffer read a piece at most from a socket."""
 
     def __init__(self, connection: socket.socket) -> None:
@@ -61,27 +61,27 @@
     time in which the node itself doesn't read, since its budget is spent, isn't counted.
     """
 
-    def __init__(self, peer: HostPort, budget: ByteBudget) -> None:
-        self._peer = peer
+    def __init__(self, address: HostPort, budget: ByteBudget) -> None:
+        self._address = address
         self._budget = budget
         self._buffer = Buffer()
-        self._patience_s: float | None = ANSWER_TIMEOUT_S
+        self._time_left_s: float | None = ANSWER_TIMEOUT_S
         self._connection: socket.socket | None = None
 
     def close(self) -> None:
         if self._connection is not None:
             self._connection.close()
 
-    def ask_range(self, request: etcd.RangeRequest) -> etcd.RangeAnswer:
+    def request_range(self, request: etcd.RangeRequest) -> etcd.RangeAnswer:
         """The answer to a range request; raises `CallError`."""
-        with _named_errors():
-            answer = self._ask(etcd.RANGE_PATH, request.body())
+        with _as_call_errors():
+            answer = self._request(etcd.RANGE_PATH, request.body())
             return etcd.read_range_answer(answer.status, bytes(answer.body))
 
-    def ask_txn(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
+    def request_txn(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
         """The answer to a transaction; raises `CallError`, after which it may have been carried out."""
-        with _named_errors():
-            answer = self._ask(etcd.TXN_PATH, request.body())
+        with _as_call_errors():
+            answer = self._request(etcd.TXN_PATH, request.body())
             return etcd.read_txn_answer(answer.status, bytes(answer.body))
 
     def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
@@ -89,14 +89,14 @@
 
         Ends with `CallError` alone.
         """
-        with _named_errors():
+        with _as_call_errors():
             yield from self._watch(request)
 
-    def _ask(self, path: str, body: bytes) -> http.Message:
+    def _request(self, path: str, body: bytes) -> http.Message:
         self._send(path, body)
-        return self._whole(http.ResponseReader(MAX_ANSWER_BYTES + SLACK_BYTES), 0)
+        return self._read_answer(http.ResponseReader(MAX_ANSWER_BYTES + PARSER_SLACK_BYTES), 0)
 
-    def _whole(self, reader: http.ResponseReader, received: int) -> http.Message:
+    def _read_answer(self, reader: http.ResponseReader, received: int) -> http.Message:
         """Read an answer to its end."""
         while (answer := reader.advance(self._buffer)) is None:
             count = self._receive()
@@ -112,29 +112,29 @@
 
     def _watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
         self._send(etcd.WATCH_PATH, request.body())
-        reader = http.ResponseReader(MAX_FRAME_BYTES + SLACK_BYTES)
-        frames = JsonObjectStream(MAX_FRAME_BYTES + SLACK_BYTES)
-        pending = 0
+        reader = http.ResponseReader(MAX_FRAME_BYTES + PARSER_SLACK_BYTES)
+        frames = JsonObjectStream(MAX_FRAME_BYTES + PARSER_SLACK_BYTES)
+        frame_bytes = 0
         while count := self._receive():
-            pending += count
-            ended = reader.advance(self._buffer)
-            status = (ended or reader.message).status
+            frame_bytes += count
+            whole_answer = reader.advance(self._buffer)
+            status = (whole_answer or reader.message).status
             if reader.headers_complete and status != HTTPStatus.OK:
-                answer = self._whole(reader, pending)
-                raise _refusal(answer)
-            if ended is not None and status != HTTPStatus.OK:
-                raise _refusal(ended)
-            body = bytes(ended.body) if ended is not None else reader.take_body()
+                answer = self._read_answer(reader, frame_bytes)
+                raise _refusal_error(answer)
+            if whole_answer is not None and status != HTTPStatus.OK:
+                raise _refusal_error(whole_answer)
+            body = bytes(whole_answer.body) if whole_answer is not None else reader.take_body()
             for frame in frames.feed(body):
-                pending = 0
-                self._patience_s = None  # a watch is silent most of the time; the check looks after it
+                frame_bytes = 0
+                self._time_left_s = None  # a watch is silent most of the time; the check looks after it
                 yield etcd.read_watch_answer(frame), 0
-            if pending > MAX_FRAME_BYTES:
+            if frame_bytes > MAX_FRAME_BYTES:
                 raise CallError(FailureKind.TOO_LARGE, f"the frame: over {MAX_FRAME_BYTES} bytes")
-            if ended is not None:
+            if whole_answer is not None:
                 break
-            if pending:
-                yield None, pending
+            if frame_bytes:
+                yield None, frame_bytes
         raise CallError(FailureKind.ENDED, "the watch ended")
 
     # ---- bytes ----
@@ -146,11 +146,11 @@
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection.settimeout(CONNECT_TIMEOUT_S)
         try:
-            connection.connect(self._peer)
+            connection.connect(self._address)
         except OSError as error:
             raise CallError(FailureKind.UNREACHABLE, str(error)) from None
         headers = [("Content-Type", "application/json")]
-        data = http.request("POST", path, format_host_port(self._peer), headers, body)
+        data = http.request("POST", path, format_host_port(self._address), headers, body)
         connection.settimeout(ANSWER_TIMEOUT_S)
         connection.sendall(data)
         self._budget.spend(time.monotonic(), len(data))
@@ -170,28 +170,28 @@
 
         What has come counts, however late this node looks: after a standstill time-outs fire first.
         """
-        while (patience := self._patience_s) is not None:
-            if patience <= 0.0 and sockets.nothing_to_read(connection):
+        while (time_left_s := self._time_left_s) is not None:
+            if time_left_s <= 0.0 and sockets.nothing_to_read(connection):
                 raise CallError(FailureKind.SILENT, f"kept waiting for {ANSWER_TIMEOUT_S} s")
-            begun = time.monotonic()
-            connection.settimeout(max(LEAST_WAIT_S, patience))
+            started_at = time.monotonic()
+            connection.settimeout(max(MIN_TIMEOUT_S, time_left_s))
             try:
-                return self._buffer.receive(_Piece(connection))
+                return self._buffer.receive(_PieceReader(connection))
             except TimeoutError as error:
                 sockets.raise_if_connection_timed_out(error)
             finally:
-                self._patience_s = patience - (time.monotonic() - begun)
+                self._time_left_s = time_left_s - (time.monotonic() - started_at)
         connection.settimeout(None)
-        return self._buffer.receive(_Piece(connection))
+        return self._buffer.receive(_PieceReader(connection))
 
 
-def _refusal(answer: http.Message) -> CallError:
+def _refusal_error(answer: http.Message) -> CallError:
     error = etcd.read_watch_refusal(answer.status, bytes(answer.body))
     return CallError(FAILURE_KINDS[error.kind], str(error))
 
 
 @contextmanager
-def _named_errors() -> Iterator[None]:
+def _as_call_errors() -> Iterator[None]:
     """Turns whatever may go wrong with a connection and its bytes into `CallError`."""
     try:
         yield
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -38,7 +38,7 @@
     revision: int
     values: Mapping[bytes, bytes]
     """As they lie there, by their whole keys."""
-    changed_at: Mapping[bytes, int]
+    mod_revisions: Mapping[bytes, int]
     """The revision of each key's last change."""
     items: StreamItems
 
@@ -54,53 +54,57 @@
         """What is published now; raises `PublishError`."""
         pages = SnapshotPages(self._prefix)
         values: dict[bytes, bytes] = {}
-        changed_at: dict[bytes, int] = {}
+        mod_revisions: dict[bytes, int] = {}
         complete = False
         while not complete:
-            answer = self._ask_any(pages)
+            answer = self._request_from_any(pages)
             try:
                 complete = pages.take(answer)
             except (etcd.GatewayError, TooLarge) as error:
                 raise PublishError(str(error)) from None
             values.update({item.key: item.value for item in answer.items})
-            changed_at.update({item.key: item.mod_revision for item in answer.items})
-        return PublishedDocument(pages.revision, values, changed_at, pages.items)
+            mod_revisions.update({item.key: item.mod_revision for item in answer.items})
+        return PublishedDocument(pages.revision, values, mod_revisions, pages.items)
 
-    def publish(self, before: PublishedDocument, items: Mapping[str, Any]) -> int | None:
+    def publish(self, published: PublishedDocument, items: Mapping[str, Any]) -> int | None:
         """Make the document hold these items and no others; returns the revision, `None` if it does already.
 
         Raises `PublishError`, also if the document has changed since it was read.
         """
-        request = self._request(before, items)
+        request = self._request(published, items)
         if not request.puts and not request.deletes:
             return None
         if len(request.puts) + len(request.deletes) > MAX_CHANGES:
             raise PublishError(f"{MAX_CHANGES} changes at most go into one revision")
         answer = self._write(request)
         if not answer.succeeded:
-            raise PublishError(f"changed by another since revision {before.revision}; nothing is written")
+            raise PublishError(f"changed by another since revision {published.revision}; nothing is written")
         return answer.header.revision
 
-    def _request(self, before: PublishedDocument, items: Mapping[str, Any]) -> etcd.TxnRequest:
-        wanted = {self._prefix + path.encode(): _text(value) for path, value in items.items()}
-        puts = {key: value for key, value in wanted.items() if not _same(before.values.get(key), value)}
-        deletes = [key for key in before.values if key not in wanted]
-        changed = [key for key in before.values if key in puts or key in deletes]
+    def _request(self, published: PublishedDocument, items: Mapping[str, Any]) -> etcd.TxnRequest:
+        desired = {self._prefix + path.encode(): _encode(value) for path, value in items.items()}
+        puts = {
+            key: value
+            for key, value in desired.items()
+            if not _is_same_value(published.values.get(key), value)
+        }
+        deletes = [key for key in published.values if key not in desired]
+        changed = [key for key in published.values if key in puts or key in deletes]
         return etcd.TxnRequest(
             self._prefix,
             etcd.range_end_of(self._prefix),
-            before.revision,
-            {key: before.changed_at[key] for key in changed},
+            published.revision,
+            {key: published.mod_revisions[key] for key in changed},
             puts,
             deletes,
         )
 
-    def _ask_any(self, pages: SnapshotPages) -> etcd.RangeAnswer:
+    def _request_from_any(self, pages: SnapshotPages) -> etcd.RangeAnswer:
         """A page from the first member that gives it."""
         failures: list[str] = []
         for member in self._members:
             try:
-                return _call(member, lambda call: call.ask_range(pages.request()))
+                return _make_call(member, lambda call: call.request_range(pages.request()))
             except CallError as error:
                 failures.append(f"{format_host_port(member)}: {error}")
         raise PublishError("no member answers: " + "; ".join(failures))
@@ -109,7 +113,7 @@
         """Write by the first member that is reached; after any other failure it may have been written."""
         for member in self._members:
             try:
-                return _call(member, lambda call: call.ask_txn(request))
+                return _make_call(member, lambda call: call.request_txn(request))
             except CallError as error:
                 if error.kind is not FailureKind.UNREACHABLE:
                     raise PublishError(
@@ -118,7 +122,9 @@
         raise PublishError("no member is reached; nothing is written")
 
 
-def check_document(config: Config, items: Mapping[str, Any], before: PublishedDocument | None = None) -> None:
+def check_document(
+    config: Config, items: Mapping[str, Any], published: PublishedDocument | None = None
+) -> None:
     """Check a document as a node of this configuration does; raises `SettingsError`.
 
     With what is published now it is also checked whether one may follow the other.
@@ -126,15 +132,15 @@
     source = config.dynamic_settings
     if source is None:
         raise SettingsError("dynamic_settings: is due in the node's file")
-    most_calls = config.sockets - config.sockets // 3 - OWN_DESCRIPTORS
-    live = LiveSettings(source.base, config.peers, most_calls)
-    if before is not None and not before.items.problem():
-        live.in_force = live.check(before.items.values())
+    max_calls = config.sockets - config.sockets // 3 - OWN_DESCRIPTORS
+    live = LiveSettings(source.base, config.peers, max_calls)
+    if published is not None and not published.items.problem():
+        live.in_force = live.check(published.items.values())
     proposed = StreamItems(source.prefix.encode())
     try:
         for path, value in items.items():
             key = source.prefix.encode() + path.encode()
-            proposed.put(etcd.KeyValue(key, _text(value), 0))
+            proposed.put(etcd.KeyValue(key, _encode(value), 0))
     except TooLarge as error:
         raise SettingsError(str(error)) from None
     if problem := proposed.problem():
@@ -142,24 +148,24 @@
     live.check(proposed.values())
 
 
-def _call(member: HostPort, ask: Callable[[MemberCall], AnswerType]) -> AnswerType:
+def _make_call(member: HostPort, make_request: Callable[[MemberCall], AnswerType]) -> AnswerType:
     """One call without a limit of bytes a second."""
     call = MemberCall(member, ByteBudget(UNLIMITED_BYTES_PER_S, time.monotonic()))
     try:
-        return ask(call)
+        return make_request(call)
     finally:
         call.close()
 
 
-def _same(held: bytes | None, wanted: bytes) -> bool:
+def _is_same_value(current: bytes | None, desired: bytes) -> bool:
     """Whether both are the same JSON value, however they are written."""
-    if held is None:
+    if current is None:
         return False
     try:
-        return _text(json.loads(held)) == wanted
+        return _encode(json.loads(current)) == desired
     except ValueError:
         return False
 
 
-def _text(value: Any) -> bytes:
+def _encode(value: Any) -> bytes:
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
--- a/irisstack/node/settings_watch.py
+++ b/irisstack/node/settings_watch.py
@@ -38,7 +38,7 @@
 
 MAILBOX_SIZE = 16
 """Events that wait at most; a call that has more to say waits."""
-LEAST_WAIT_S = 0.01
+MIN_WAIT_S = 0.01
 """Between two steps without an event: whatever the decisions say, the others get their turn."""
 RESTART_PAUSE_S = 5.0
 """After a fault of this part itself, until it begins anew."""
@@ -71,7 +71,7 @@
         members: Sequence[HostPort],
         prefix: str,
         bytes_per_s: float,
-        saved: SnapshotFile,
+        snapshot_file: SnapshotFile,
         check: Callable[[Mapping[str, Any]], AcceptedType],
         apply: Callable[[int, AcceptedType], None],
         counters: Counters,
@@ -79,7 +79,7 @@
     ) -> None:
         self._members = {format_host_port(member): member for member in members}
         self._prefix = prefix.encode()
-        self._saved_file = saved
+        self._snapshot_file = snapshot_file
         self._check = check
         self._apply = apply
         self._counters = counters
@@ -92,7 +92,7 @@
 
     def run(self) -> None:
         """Follow the settings; a fault of this part is logged, and it begins anew."""
-        saved = self._saved_file.load()
+        saved = self._snapshot_file.load()
         if saved is not None:
             self._held = Held(saved.cluster_id, saved.revision, saved.items)
         while True:
@@ -118,29 +118,29 @@
                 if isinstance(action, WakeAt):
                     wake_at = action.at
                 elif isinstance(action, ProposeDocument):
-                    events.append(self._propose(action))
+                    events.append(self._try_document(action))
                 else:
-                    self._carry_out(action)
+                    self._execute(action)
             if not events:
                 events = self._wait(wake_at)
 
     def _wait(self, wake_at: float) -> list[Event]:
         """All events that have come; none if the time is up first."""
-        left = max(LEAST_WAIT_S, wake_at - time.monotonic())
+        remaining = max(MIN_WAIT_S, wake_at - time.monotonic())
         try:
-            events = [self._mailbox.get(timeout=left if left < math.inf else None)]
+            events = [self._mailbox.get(timeout=remaining if remaining < math.inf else None)]
         except Empty:
             return []
         while not self._mailbox.empty():
             events.append(self._mailbox.get_nowait())
         return events
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case AskRange(call, member, request):
-                self._calls[call] = gevent.spawn(self._ask_range, call, self._members[member], request)
+                self._calls[call] = gevent.spawn(self._run_range, call, self._members[member], request)
             case OpenWatch(call, member, request):
-                self._calls[call] = gevent.spawn(self._watch, call, self._members[member], request)
+                self._calls[call] = gevent.spawn(self._run_watch, call, self._members[member], request)
             case EndCall(call):
                 if (greenlet := self._calls.pop(call, None)) is not None:
                     greenlet.kill(block=False)
@@ -151,7 +151,7 @@
 
     # ---- documents ----
 
-    def _propose(self, proposal: ProposeDocument) -> Event:
+    def _try_document(self, proposal: ProposeDocument) -> Event:
         """Check a document as a whole and put it in force; one that is refused changes nothing."""
         gevent.sleep(0)  # a check may take a while: the others get their turn between two
         try:
@@ -170,26 +170,26 @@
 
     def _save(self, proposal: ProposeDocument, accepted: AcceptedType) -> None:
         settings = SavedSettings(proposal.cluster_id, proposal.revision, proposal.items, accepted.retired)
-        if self._saved_file.load() != settings:
-            self._saved_file.save(settings)
+        if self._snapshot_file.load() != settings:
+            self._snapshot_file.save(settings)
 
     # ---- calls, each in a greenlet of its own ----
 
-    def _ask_range(self, number: int, peer: HostPort, request: etcd.RangeRequest) -> None:
-        call = MemberCall(peer, self._budget)
+    def _run_range(self, number: int, address: HostPort, request: etcd.RangeRequest) -> None:
+        call = MemberCall(address, self._budget)
         try:
-            self._mailbox.put(RangeAnswered(number, call.ask_range(request)))
+            self._mailbox.put(RangeAnswered(number, call.request_range(request)))
         except Exception as error:  # whatever it is, the decisions must hear of it, or they wait for ever
             self._mailbox.put(_failure(number, error))
         finally:
             call.close()
             self._calls.pop(number, None)
 
-    def _watch(self, number: int, peer: HostPort, request: etcd.WatchRequest) -> None:
-        call = MemberCall(peer, self._budget)
+    def _run_watch(self, number: int, address: HostPort, request: etcd.WatchRequest) -> None:
+        call = MemberCall(address, self._budget)
         try:
-            for answer, pending in call.watch(request):
-                self._mailbox.put(FrameProgress(number, pending))
+            for answer, frame_bytes in call.watch(request):
+                self._mailbox.put(FrameProgress(number, frame_bytes))
                 if answer is not None:
                     self._mailbox.put(WatchAnswered(number, answer))
         except Exception as error:  # as above
