--- a/irisstack/node/config.py
+++ b/irisstack/node/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and validates the configuration and supplies its defaults; no other module does."""
 
 import json
 import os
@@ -16,33 +16,33 @@
 DEFAULT_SOCKETS = 1024
 DEFAULT_DISK_MB = 64.0
 MIN_DISK_BYTES_WITH_DYNAMIC_SETTINGS = 2_000_000
-"""The file of the settings in force takes a part of the folder's room."""
+"""Larger than without, since the saved settings take a part of the state directory."""
 DEFAULT_SETTINGS_BYTES_PER_S = 11_000
 MIN_SETTINGS_BYTES_PER_S = 1024
-"""Below this a whole settings document would take minutes."""
+"""At a lower rate, reading a whole settings document would take minutes."""
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text names the key at fault."""
+    """The configuration cannot be used; the message begins with the key or variable at fault."""
 
 
 @dataclass(slots=True, frozen=True)
 class DynamicSettings:
-    """Where settings come from that change while the node runs."""
+    """The source of settings that change while the node runs."""
 
     members: tuple[HostPort, ...]
-    """Of the cluster that publishes them."""
+    """Client addresses of the etcd cluster."""
     prefix: str
-    """Of their keys."""
+    """The prefix of the settings' keys; ends with `/`."""
     bytes_per_s: int
-    """The most that following them may take of the network."""
+    """Limit of the network traffic for following the settings."""
     base: Mapping[str, Any]
-    """The settings object of the node's own file, over which they are laid."""
+    """The settings object of the node's own file, which the published settings override."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a node is told at its start."""
+    """The configuration of a node."""
 
     name: str
     listen: HostPort
@@ -54,57 +54,57 @@
     known: Mapping[str, Any]
     settings: Settings
     peers: tuple[HostPort, ...] = ()
-    """The other nodes that notes go to and come from."""
+    """The other nodes to exchange gossip with."""
     trial: Settings | None = None
-    """Settings to watch beside those in force."""
+    """Settings to evaluate in shadow mode, beside those in force."""
     dynamic_settings: DynamicSettings | None = None
-    """None where settings wait for a restart."""
+    """`None` if settings change only with a restart."""
 
 
 def parse_host_port(text: str, key: str) -> HostPort:
-    """Split `host:port`; the host is an address, since nothing here looks names up."""
+    """Split `host:port`; the host must be an IP address, since names are not resolved."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{key}: host:port is due, not {text!r}")
+        raise ConfigError(f"{key}: expected host:port, got {text!r}")
     return host, int(port)
 
 
 def format_host_port(address: HostPort) -> str:
-    """`host:port`, as a header or a line of the log names it."""
+    """`host:port`, as used in headers and log lines."""
     host, port = address
     return f"{host}:{port}"
 
 
 def to_host_port(address: Address) -> HostPort:
-    """An endpoint's address as one connects to it."""
+    """Convert an endpoint's packed address to a host and port to connect to."""
     host, port = address
     return socket.inet_ntoa(host), port
 
 
 def file_format(path: Path) -> str:
-    """How a configuration file is written: people write TOML, the platform JSON."""
+    """The format of a configuration file: people write TOML, the platform writes JSON."""
     return "TOML" if path.suffix == ".toml" else "JSON"
 
 
 def parse_file(path: Path) -> Any:
-    """What the file holds; raises `OSError` or `ValueError`."""
+    """Parse a file; raises `OSError` or `ValueError`."""
     data = path.read_bytes()
     if file_format(path) == "JSON":
         return json.loads(data)
-    import tomllib  # only a file of this form pays for it
+    import tomllib  # not at the top: a node with a JSON file need not load it
 
     return tomllib.loads(data.decode())
 
 
 def load(environment: Mapping[str, str] = os.environ, *, reload: bool = False) -> Config:
-    """The configuration from `RELAY_CONFIG` and the variables that stand above the file.
+    """Load the file that `RELAY_CONFIG` names; the other environment variables override it.
 
-    Read anew by a running node, the file stands above `RELAY_DISCOVERY`: a process keeps the variables
-    that it was started with, so only the file can tell it of another address.
+    When a running node reloads the file, the file overrides `RELAY_DISCOVERY`: the environment of a process
+    is fixed at its start, so only the file can name a new address.
     """
     path = environment.get("RELAY_CONFIG", "")
     if not path:
-        raise ConfigError("RELAY_CONFIG: the path of the configuration file is due")
+        raise ConfigError("RELAY_CONFIG: expected the path of the configuration file, got none")
     try:
         raw = Reader(parse_file(Path(path)))
         limits = raw.section("limits")
@@ -138,7 +138,7 @@
     except OSError as error:
         raise ConfigError(f"RELAY_CONFIG: {path} cannot be read: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"RELAY_CONFIG: {path} holds no {file_format(Path(path))}: {error}") from None
+        raise ConfigError(f"RELAY_CONFIG: {path} is not valid {file_format(Path(path))}: {error}") from None
     except SettingsError as error:
         raise ConfigError(str(error)) from None
     _validate(config)
@@ -146,12 +146,12 @@
 
 
 def disable_gossip_without_peers(settings: Settings, peers: tuple[HostPort, ...]) -> Settings:
-    """Without the other nodes' places notes would reach nobody, so that nothing may count on them."""
+    """Switch gossip off if no peers are configured, since it would reach nobody."""
     return settings if peers else replace(settings, may_gossip=False)
 
 
 def _read_trial(raw: Reader, settings: Settings) -> Settings | None:
-    """The settings in force with what stands under `watch` laid over them; lists are taken whole."""
+    """The settings with the overrides under `watch` merged in; lists are replaced as a whole."""
     if raw.value("watch") is None:
         return None
     overrides = raw.value("watch")
@@ -160,7 +160,7 @@
     if [message_class.name for message_class in trial.classes] != [
         message_class.name for message_class in settings.classes
     ]:
-        raise SettingsError("watch.lanes: the classes of settings.lanes are due, in their order")
+        raise SettingsError("watch.lanes: expected the classes of settings.lanes in the same order")
     return trial
 
 
@@ -169,7 +169,7 @@
         return None
     if raw.value("watch") is not None:
         raise SettingsError(
-            "watch: not together with dynamic_settings: settings on trial need ones that stay"
+            "watch: not allowed together with dynamic_settings, since shadow settings need fixed settings"
         )
     section = raw.section("dynamic_settings")
     members = tuple(
@@ -177,14 +177,14 @@
         for i, member in enumerate(section.texts("members"))
     )
     if not members:
-        raise SettingsError(f"{section.path('members')}: at least one host:port is due")
+        raise SettingsError(f"{section.path('members')}: expected at least one host:port, got none")
     prefix = section.text("prefix")
     if not prefix.endswith("/"):
-        raise SettingsError(f"{section.path('prefix')}: a prefix that ends with '/' is due, not {prefix!r}")
+        raise SettingsError(f"{section.path('prefix')}: expected a prefix that ends with '/', got {prefix!r}")
     bytes_per_s = section.integer("bytes_per_s", DEFAULT_SETTINGS_BYTES_PER_S)
     if bytes_per_s < MIN_SETTINGS_BYTES_PER_S:
         raise SettingsError(
-            f"{section.path('bytes_per_s')}: {MIN_SETTINGS_BYTES_PER_S} at least are due, not {bytes_per_s}"
+            f"{section.path('bytes_per_s')}: expected at least {MIN_SETTINGS_BYTES_PER_S}, got {bytes_per_s}"
         )
     return DynamicSettings(members, prefix, bytes_per_s, raw.value("settings"))
 
@@ -199,19 +199,21 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise ConfigError(f"seed: a hexadecimal number is due, not {text!r}") from None
+        raise ConfigError(f"seed: expected a hexadecimal number, got {text!r}") from None
 
 
 def _validate(config: Config) -> None:
     if not config.state.is_dir() or not os.access(config.state, os.W_OK | os.X_OK):
-        raise ConfigError(f"RELAY_STATE: {config.state} is no folder that can be written")
+        raise ConfigError(f"RELAY_STATE: {config.state} is not a writable directory")
     if config.sockets < 64:
-        raise ConfigError(f"limits.sockets: 64 at least are due, not {config.sockets}")
+        raise ConfigError(f"limits.sockets: expected at least 64, got {config.sockets}")
     if config.disk_bytes < 1_000_000:
-        raise ConfigError("limits.disk_mb: 1 at least is due")
+        raise ConfigError(f"limits.disk_mb: expected at least 1, got {config.disk_bytes / 1_000_000}")
     if config.dynamic_settings is not None and config.disk_bytes < MIN_DISK_BYTES_WITH_DYNAMIC_SETTINGS:
-        raise ConfigError("limits.disk_mb: 2 at least are due with dynamic_settings")
+        raise ConfigError(
+            f"limits.disk_mb: expected at least 2 with dynamic_settings, got {config.disk_bytes / 1_000_000}"
+        )
     if not config.settings.kinds:
-        raise ConfigError("settings.shapes: at least one kind is due")
+        raise ConfigError("settings.shapes: expected at least one kind, got none")
     if config.settings.max_calls < 1:
-        raise ConfigError("settings.extra.maxCalls: 1 at least is due")
+        raise ConfigError(f"settings.extra.maxCalls: expected at least 1, got {config.settings.max_calls}")
--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -1,4 +1,4 @@
-"""One call to a member of the settings' cluster: connected, sent and read within limits of time and bytes."""
+"""One call to a member of the settings cluster, within limits of time and bytes."""
 
 import time
 from collections.abc import Iterator
@@ -23,10 +23,11 @@
 from irisstack.node.objects import JsonObjectStream
 
 RECEIVE_BUFFER_BYTES = 16 * 1024
-"""What the kernel may hold of an answer that the budget does not allow to be read yet."""
+"""Kernel buffer for the part of an answer that the byte budget does not yet allow to be read."""
 PARSER_SLACK_BYTES = 32 * 1024
-"""The parsers' own limits lie so far above the one kept here, which tells too long from malformed."""
+"""The parsers' limits exceed the limits kept here by this, so that too long differs from malformed."""
 MIN_TIMEOUT_S = 0.001
+"""A socket's time-out of zero would make it non-blocking."""
 
 FAILURE_KINDS = {
     etcd.ErrorKind.COMPACTED: FailureKind.COMPACTED,
@@ -36,7 +37,7 @@
 
 
 class CallError(Exception):
-    """The call is over without an answer."""
+    """The call ended without an answer."""
 
     def __init__(self, kind: FailureKind, reason: str) -> None:
         super().__init__(reason)
@@ -44,7 +45,7 @@
 
 
 class _PieceReader:
-    """Lets a buffer read a piece at most from a socket."""
+    """Limits each read of a buffer from a socket to `PIECE_BYTES`."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
@@ -55,10 +56,10 @@
 
 
 class MemberCall:
-    """A request to a member, and what comes back.
+    """A request to a member and its answer.
 
-    The member may keep the node waiting for `ANSWER_TIMEOUT_S` in all, in however many pieces it sends; the
-    time in which the node itself doesn't read, since its budget is spent, isn't counted.
+    The total time spent waiting for the member's bytes is limited to `ANSWER_TIMEOUT_S`. The time in which
+    the node doesn't read because its byte budget is spent doesn't count.
     """
 
     def __init__(self, address: HostPort, budget: ByteBudget) -> None:
@@ -73,21 +74,21 @@
             self._connection.close()
 
     def request_range(self, request: etcd.RangeRequest) -> etcd.RangeAnswer:
-        """The answer to a range request; raises `CallError`."""
+        """Send a range request; raises `CallError`."""
         with _as_call_errors():
             answer = self._request(etcd.RANGE_PATH, request.body())
             return etcd.read_range_answer(answer.status, bytes(answer.body))
 
     def request_txn(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
-        """The answer to a transaction; raises `CallError`, after which it may have been carried out."""
+        """Send a transaction; raises `CallError`, after which it may still have been committed."""
         with _as_call_errors():
             answer = self._request(etcd.TXN_PATH, request.body())
             return etcd.read_txn_answer(answer.status, bytes(answer.body))
 
     def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
-        """The watch's frames as they come, each with 0; between them `None` and the bytes of the next so far.
+        """Yield each frame of the watch with 0, and `None` with the size so far of an incomplete frame.
 
-        Ends with `CallError` alone.
+        Ends only with `CallError`.
         """
         with _as_call_errors():
             yield from self._watch(request)
@@ -97,16 +98,16 @@
         return self._read_answer(http.ResponseReader(MAX_ANSWER_BYTES + PARSER_SLACK_BYTES), 0)
 
     def _read_answer(self, reader: http.ResponseReader, received: int) -> http.Message:
-        """Read an answer to its end."""
+        """Read the whole answer, of which `received` bytes were already read."""
         while (answer := reader.advance(self._buffer)) is None:
             count = self._receive()
             received += count
             if received > MAX_ANSWER_BYTES:
-                raise CallError(FailureKind.TOO_LARGE, f"the answer: over {MAX_ANSWER_BYTES} bytes")
+                raise CallError(FailureKind.TOO_LARGE, f"the answer exceeds {MAX_ANSWER_BYTES} bytes")
             if not count:
                 answer = reader.finish_at_eof()
                 if answer is None:
-                    raise CallError(FailureKind.ENDED, "the answer ended early")
+                    raise CallError(FailureKind.ENDED, "the connection ended before the answer was complete")
                 break
         return answer
 
@@ -127,10 +128,12 @@
             body = bytes(whole_answer.body) if whole_answer is not None else reader.take_body()
             for frame in frames.feed(body):
                 frame_bytes = 0
-                self._time_left_s = None  # a watch is silent most of the time; the check looks after it
+                self._time_left_s = None  # a watch is mostly silent; the follower's check detects a lost one
                 yield etcd.read_watch_answer(frame), 0
             if frame_bytes > MAX_FRAME_BYTES:
-                raise CallError(FailureKind.TOO_LARGE, f"the frame: over {MAX_FRAME_BYTES} bytes")
+                raise CallError(
+                    FailureKind.TOO_LARGE, f"a frame of the watch exceeds {MAX_FRAME_BYTES} bytes"
+                )
             if whole_answer is not None:
                 break
             if frame_bytes:
@@ -156,23 +159,23 @@
         self._budget.spend(time.monotonic(), len(data))
 
     def _receive(self) -> int:
-        """Read a piece once the budget allows; returns its size, 0 at the end of the stream."""
+        """Read once the budget allows it; returns the number of bytes, 0 at the end of the stream."""
         while (pause := self._budget.delay(time.monotonic())) > 0.0:
             gevent.sleep(pause)
-        gevent.sleep(0)  # a flood must not keep the others from their turn
+        gevent.sleep(0)  # yields, so that a flood of bytes does not starve other greenlets
         assert self._connection is not None, "the request was sent"
         count = self._receive_piece(self._connection)
         self._budget.spend(time.monotonic(), count)
         return count
 
     def _receive_piece(self, connection: socket.socket) -> int:
-        """Raises `CallError` once the member has used up its time and nothing lies there unread.
+        """Read once; raises `CallError` if the member's time is used up and there is nothing to read.
 
-        What has come counts, however late this node looks: after a standstill time-outs fire first.
+        Bytes that have arrived are read even so: after this process was stalled, time-outs fire first.
         """
         while (time_left_s := self._time_left_s) is not None:
             if time_left_s <= 0.0 and sockets.nothing_to_read(connection):
-                raise CallError(FailureKind.SILENT, f"kept waiting for {ANSWER_TIMEOUT_S} s")
+                raise CallError(FailureKind.SILENT, f"no complete answer within {ANSWER_TIMEOUT_S} s")
             started_at = time.monotonic()
             connection.settimeout(max(MIN_TIMEOUT_S, time_left_s))
             try:
@@ -192,7 +195,7 @@
 
 @contextmanager
 def _as_call_errors() -> Iterator[None]:
-    """Turns whatever may go wrong with a connection and its bytes into `CallError`."""
+    """Convert any error of a connection and its data into `CallError`."""
     try:
         yield
     except etcd.GatewayError as error:
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -1,6 +1,6 @@
-"""Publishing a settings document: read, checked as a node checks it, and written in one transaction.
+"""Publishes a settings document: reads it, checks it as a node does and writes it in one transaction.
 
-For the command line. A node itself never writes.
+Used by the command line; a node never writes.
 """
 
 import json
@@ -21,25 +21,25 @@
 from irisstack.settings import SettingsError
 
 MAX_CHANGES = 127
-"""Of one publication: a transaction of etcd's holds 128 conditions, and one guards the whole range."""
+"""Changes per publication: an etcd transaction holds 128 conditions, one of which guards the whole range."""
 UNLIMITED_BYTES_PER_S = 1e12
 
 AnswerType = TypeVar("AnswerType")
 
 
 class PublishError(Exception):
-    """The document was not published, or may not have been; the text says which."""
+    """The document was not published, or may not have been; the message says which."""
 
 
 @dataclass(slots=True, frozen=True)
 class PublishedDocument:
-    """What lies below the prefix at one revision."""
+    """The keys below the prefix at one revision."""
 
     revision: int
     values: Mapping[bytes, bytes]
-    """As they lie there, by their whole keys."""
+    """The encoded values by full key."""
     mod_revisions: Mapping[bytes, int]
-    """The revision of each key's last change."""
+    """The revision of the last change, by full key."""
     items: StreamItems
 
 
@@ -51,7 +51,7 @@
         self._prefix = prefix.encode()
 
     def read(self) -> PublishedDocument:
-        """What is published now; raises `PublishError`."""
+        """The published document; raises `PublishError`."""
         pages = SnapshotPages(self._prefix)
         values: dict[bytes, bytes] = {}
         mod_revisions: dict[bytes, int] = {}
@@ -67,7 +67,7 @@
         return PublishedDocument(pages.revision, values, mod_revisions, pages.items)
 
     def publish(self, published: PublishedDocument, items: Mapping[str, Any]) -> int | None:
-        """Make the document hold these items and no others; returns the revision, `None` if it does already.
+        """Replace the document with these items; returns the revision, `None` if there was nothing to change.
 
         Raises `PublishError`, also if the document has changed since it was read.
         """
@@ -75,10 +75,12 @@
         if not request.puts and not request.deletes:
             return None
         if len(request.puts) + len(request.deletes) > MAX_CHANGES:
-            raise PublishError(f"{MAX_CHANGES} changes at most go into one revision")
+            raise PublishError(f"one revision can hold at most {MAX_CHANGES} changes")
         answer = self._write(request)
         if not answer.succeeded:
-            raise PublishError(f"changed by another since revision {published.revision}; nothing is written")
+            raise PublishError(
+                f"the document has changed since revision {published.revision}; nothing was written"
+            )
         return answer.header.revision
 
     def _request(self, published: PublishedDocument, items: Mapping[str, Any]) -> etcd.TxnRequest:
@@ -100,38 +102,38 @@
         )
 
     def _request_from_any(self, pages: SnapshotPages) -> etcd.RangeAnswer:
-        """A page from the first member that gives it."""
+        """Request a page from each member in turn until one answers."""
         failures: list[str] = []
         for member in self._members:
             try:
                 return _make_call(member, lambda call: call.request_range(pages.request()))
             except CallError as error:
                 failures.append(f"{format_host_port(member)}: {error}")
-        raise PublishError("no member answers: " + "; ".join(failures))
+        raise PublishError("no member answered: " + "; ".join(failures))
 
     def _write(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
-        """Write by the first member that is reached; after any other failure it may have been written."""
+        """Write through the first reachable member; after any other failure the outcome is unknown."""
         for member in self._members:
             try:
                 return _make_call(member, lambda call: call.request_txn(request))
             except CallError as error:
                 if error.kind is not FailureKind.UNREACHABLE:
                     raise PublishError(
-                        f"it may have been written: {format_host_port(member)}: {error}"
+                        f"the document may have been written: {format_host_port(member)}: {error}"
                     ) from None
-        raise PublishError("no member is reached; nothing is written")
+        raise PublishError("no member could be reached; nothing was written")
 
 
 def check_document(
     config: Config, items: Mapping[str, Any], published: PublishedDocument | None = None
 ) -> None:
-    """Check a document as a node of this configuration does; raises `SettingsError`.
+    """Check a document as a node with this configuration does; raises `SettingsError`.
 
-    With what is published now it is also checked whether one may follow the other.
+    With `published`, also checks whether the new document may replace it.
     """
     source = config.dynamic_settings
     if source is None:
-        raise SettingsError("dynamic_settings: is due in the node's file")
+        raise SettingsError("dynamic_settings: missing in the node's configuration file")
     max_calls = config.sockets - config.sockets // 3 - OWN_DESCRIPTORS
     live = LiveSettings(source.base, config.peers, max_calls)
     if published is not None and not published.items.problem():
@@ -149,7 +151,7 @@
 
 
 def _make_call(member: HostPort, make_request: Callable[[MemberCall], AnswerType]) -> AnswerType:
-    """One call without a limit of bytes a second."""
+    """Make one call without a rate limit."""
     call = MemberCall(member, ByteBudget(UNLIMITED_BYTES_PER_S, time.monotonic()))
     try:
         return make_request(call)
@@ -158,7 +160,7 @@
 
 
 def _is_same_value(current: bytes | None, desired: bytes) -> bool:
-    """Whether both are the same JSON value, however they are written."""
+    """Whether both are the same JSON value, regardless of formatting."""
     if current is None:
         return False
     try:
--- a/irisstack/node/settings_watch.py
+++ b/irisstack/node/settings_watch.py
@@ -1,4 +1,4 @@
-"""The actor that follows the settings: carries out on sockets what `dynamic_settings.decisions` decides."""
+"""The actor that follows the published settings: performs the I/O for `dynamic_settings.decisions`."""
 
 import math
 import time
@@ -37,17 +37,17 @@
 from irisstack.settings import SettingsError
 
 MAILBOX_SIZE = 16
-"""Events that wait at most; a call that has more to say waits."""
+"""Maximum of queued events; a call that has another one blocks until there is room."""
 MIN_WAIT_S = 0.01
-"""Between two steps without an event: whatever the decisions say, the others get their turn."""
+"""Seconds between steps without an event, at the least, so that other greenlets run."""
 RESTART_PAUSE_S = 5.0
-"""After a fault of this part itself, until it begins anew."""
+"""Seconds before a restart after an unexpected error in this actor."""
 
 log = structlog.get_logger()
 
 
 class Accepted(Protocol):
-    """What the check makes of a good document."""
+    """The result of a check that accepted a document."""
 
     @property
     def retired(self) -> Mapping[str, Any]: ...
@@ -57,13 +57,13 @@
 
 
 class SettingsWatch(Generic[AcceptedType]):
-    """Follows the settings for as long as the node runs, and never ends it.
+    """Follows the published settings while the node runs; its errors never end the node.
 
-    `check` raises `SettingsError` for a document that is refused; `apply` puts in force what it returned and
-    must not raise. The seed has to differ from node to node: it spreads the nodes over members and time.
+    `check` raises `SettingsError` to refuse a document; `apply` puts its result in force and must not raise.
+    The seed must differ from node to node, to spread the nodes' calls over members and time.
 
-    Counters: `settings_revision` is the revision in force, `settings_refused` the bad documents named,
-    `settings_stale` how often the settings became stale.
+    Counters: `settings_revision` is the revision in force, `settings_refused` the number of documents that
+    were reported as refused, `settings_stale` how often the settings became stale.
     """
 
     def __init__(
@@ -91,14 +91,14 @@
         self._mailbox: Queue[Event] = Queue(MAILBOX_SIZE)
 
     def run(self) -> None:
-        """Follow the settings; a fault of this part is logged, and it begins anew."""
+        """Follow the settings; an unexpected error is logged, and the actor restarts."""
         saved = self._snapshot_file.load()
         if saved is not None:
             self._held = Held(saved.cluster_id, saved.revision, saved.items)
         while True:
             try:
                 self._follow()
-            except Exception as error:  # whatever it is, settings that stay as they are end no node
+            except Exception as error:  # any error: the node goes on with the settings in force
                 log.error("settings_watch_failed", error=repr(error))
             for call in self._calls.values():
                 call.kill(block=False)
@@ -125,7 +125,7 @@
                 events = self._wait(wake_at)
 
     def _wait(self, wake_at: float) -> list[Event]:
-        """All events that have come; none if the time is up first."""
+        """All queued events; none if `wake_at` passes first."""
         remaining = max(MIN_WAIT_S, wake_at - time.monotonic())
         try:
             events = [self._mailbox.get(timeout=remaining if remaining < math.inf else None)]
@@ -152,16 +152,16 @@
     # ---- documents ----
 
     def _try_document(self, proposal: ProposeDocument) -> Event:
-        """Check a document as a whole and put it in force; one that is refused changes nothing."""
-        gevent.sleep(0)  # a check may take a while: the others get their turn between two
+        """Check a document as a whole and put it in force; a refused one changes nothing."""
+        gevent.sleep(0)  # a check may take long: yields to other greenlets between two
         try:
             accepted = self._check(proposal.items)
-            # Saved first: a message taken on under a new class is known again, whenever the process ends.
+            # Saved first, so that a message accepted under a new class is known to the next process.
             self._save(proposal, accepted)
             self._apply(proposal.revision, accepted)
         except SettingsError as error:
             return DocumentRefused(proposal.revision, str(error))
-        except Exception as error:  # whatever it is, a document ends no node
+        except Exception as error:  # any error: a document must not end the node
             return DocumentRefused(proposal.revision, f"the document: {error!r}")
         self._held = Held(proposal.cluster_id, proposal.revision, proposal.items)
         self._counters.add("settings_revision", proposal.revision - self._counted_revision)
@@ -173,13 +173,13 @@
         if self._snapshot_file.load() != settings:
             self._snapshot_file.save(settings)
 
-    # ---- calls, each in a greenlet of its own ----
+    # ---- calls, each in its own greenlet ----
 
     def _run_range(self, number: int, address: HostPort, request: etcd.RangeRequest) -> None:
         call = MemberCall(address, self._budget)
         try:
             self._mailbox.put(RangeAnswered(number, call.request_range(request)))
-        except Exception as error:  # whatever it is, the decisions must hear of it, or they wait for ever
+        except Exception as error:  # any error must reach the follower, or it would wait forever
             self._mailbox.put(_failure(number, error))
         finally:
             call.close()
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -105,5 +105,5 @@
     taken = config.load({"RELAY_CONFIG": str(path)})
     assert (taken.settings.max_pending, taken.sockets, len(taken.settings.classes)) == (9, 256, 2)
     path.write_text("= 3")
-    with pytest.raises(config.ConfigError, match="holds no TOML"):
+    with pytest.raises(config.ConfigError, match="is not valid TOML"):
         config.load({"RELAY_CONFIG": str(path)})
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -120,7 +120,7 @@
     for number in range(3):
         server.cluster.set_reach(number, Reach.DOWN)
     assert publish(node_file, GOOD) == 1
-    assert capfd.readouterr().err.startswith("irisstack: no member answers: ")
+    assert capfd.readouterr().err.startswith("irisstack: no member answered: ")
 
 
 @pytest.mark.parametrize("document", [[1], "text"])
@@ -155,7 +155,7 @@
     else:
         server.cluster.put(f"{PREFIX}c".encode(), b"7")
     revision = server.cluster.store.revision
-    with pytest.raises(PublishError, match="changed by another since revision 2; nothing is written"):
+    with pytest.raises(PublishError, match="the document has changed since revision 2; nothing was written"):
         publisher.publish(before, {"a": 3, "b": 2})
     assert server.cluster.store.revision == revision
 
@@ -164,5 +164,5 @@
     publisher = SettingsPublisher(members_of(server), PREFIX)
     most = settings_publisher.MAX_CHANGES
     assert publisher.publish(publisher.read(), {f"lanes/{i}": i for i in range(most)}) == 2
-    with pytest.raises(PublishError, match="127 changes at most"):
+    with pytest.raises(PublishError, match="at most 127 changes"):
         publisher.publish(publisher.read(), {f"tenants/{i}": i for i in range(most)})
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -372,7 +372,7 @@
         node.config_data["discovery"] = "nowhere"
         node.reload_config()
         (line,) = [line for line in node.log.read_text().splitlines() if "configuration_not_taken" in line]
-        assert "discovery: host:port is due" in line
+        assert "discovery: expected host:port" in line
         assert node.submit("m1").status == 202
         delivered(node, 1)
 
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -156,7 +156,7 @@
         check=False,
     )
     assert ended.returncode != 0
-    assert ended.stderr == "irisstack: seed: a hexadecimal number is due, not '?'\n"
+    assert ended.stderr == "irisstack: seed: expected a hexadecimal number, got '?'\n"
 
 
 @pytest.mark.parametrize("environment", [{}, {"RELAY_CONFIG": "/nowhere"}])
