--- a/irisstack/node/config.py
+++ b/irisstack/node/config.py
@@ -1,4 +1,4 @@
-"""Reads and validates the configuration and supplies its defaults; no other module does."""
+"""The single place where a node's configuration is read, validated and given defaults."""
 
 import json
 import os
