--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -184,7 +184,7 @@
 
     def on_confirmed(self, call: ListCall) -> None:
         """The list is known to be the newest; the other watch calls are no longer needed."""
-        self._counters.raise_to("list_age_longest_ms", round(self._list_age * 1000.0))
+        self._counters.record_max("list_age_longest_ms", round(self._list_age * 1000.0))
         self._confirmed_at = time.monotonic()
         self._failures = 0
         if call not in self._watches:
--- a/irisstack/node/list_reader.py
+++ b/irisstack/node/list_reader.py
@@ -9,7 +9,7 @@
 
 from irisstack import interface as api
 from irisstack.node.config import parse_host_port
-from irisstack.node.record_clock import RecordClock, resume
+from irisstack.node.record_clock import RecordClock, resume_clock
 
 STATES_BY_PHASE = {
     "SERVING": api.EndpointState.READY,
@@ -32,7 +32,7 @@
 
         `clock` converts the list's Unix times; by default it is the wall clock as of now.
         """
-        self._clock = clock or resume(None)
+        self._clock = clock or resume_clock(None)
         self._kind_indexes = {kind.name: i for i, kind in enumerate(settings.kinds)}
         self._max_waiting = max_waiting
         self._waiting_members: dict[str, Mapping[str, Any]] = {}  # entries of unknown kinds, by id
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -17,7 +17,7 @@
 from irisstack.node.config import Config, HostPort, format_host_port
 from irisstack.node.live_settings import LiveSettings
 from irisstack.node.member_call import CallError, MemberCall
-from irisstack.node.service import OWN_DESCRIPTORS
+from irisstack.node.service import RESERVED_DESCRIPTORS
 from irisstack.settings import SettingsError
 
 MAX_CHANGES = 127
@@ -134,7 +134,7 @@
     source = config.dynamic_settings
     if source is None:
         raise SettingsError("dynamic_settings: missing in the node's configuration file")
-    max_calls = config.sockets - config.sockets // 3 - OWN_DESCRIPTORS
+    max_calls = config.sockets - config.sockets // 3 - RESERVED_DESCRIPTORS
     live = LiveSettings(source.base, config.peers, max_calls)
     if published is not None and not published.items.problem():
         live.in_force = live.check(published.items.values())
