--- a/tests/node/list_support.py
+++ b/tests/node/list_support.py
@@ -1,4 +1,4 @@
-"""Scripted services of the endpoint list, and the part of a node that follows one."""
+"""Scripted discovery services, and the part of a node that follows the endpoint list."""
 
 import copy
 import queue
@@ -19,36 +19,36 @@
 from tests.node_support import SETTINGS, ScriptedEndpoint, ScriptedPlatform, http_response
 
 BUSY_S = 1.0
-"""Seconds that a call waits in a crowded service until it is answered 503."""
+"""Seconds until a busy service answers 503."""
 TRICKLE_PAUSE_S = 0.2
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class CallBehavior(Enum):
-    """What becomes of one call for the list."""
+    """How the service treats one list call."""
 
     SERVED = auto()
-    """Answered with the list, and with an empty line every 2 s from then on."""
+    """Answered with the list, and then with a heartbeat (an empty line) every 2 s."""
     REFUSED = auto()
     """Answered 503 at once."""
     BUSY = auto()
-    """Answered 503 after a wait."""
+    """Answered 503 after `BUSY_S`."""
     SILENT = auto()
-    """Accepted, and never answered."""
+    """Accepted and never answered."""
     HEAD_ONLY = auto()
-    """The head of an answer comes, and nothing after it."""
+    """Only the head of an answer is sent."""
     TRICKLING = auto()
-    """An answer that comes a byte at a time and has no end."""
+    """An endless answer, sent a byte at a time."""
     CUT_OFF = auto()
-    """Half of an object, then a reset."""
+    """Half of an object, then the connection is closed."""
     MALFORMED = auto()
-    """An object that cannot be read."""
+    """An object that is not valid JSON."""
     WATCH_FALLS_SILENT = auto()
-    """Answered with the list, and never heard of again."""
+    """Answered with the list, and silent from then on."""
 
 
 class ScriptedDiscovery(ScriptedPlatform):
-    """Serves calls for the list as its script says, the rest as ever; keeps when each of them came."""
+    """Treats watch calls as its script says and others normally; records the time of each watch call."""
 
     def __init__(self, *script: CallBehavior) -> None:
         self.script = list(script)
@@ -102,10 +102,10 @@
 
 
 class SequentialDiscovery(ScriptedPlatform):
-    """Works through calls for the list one after another, those of callers that have left too."""
+    """Serves list calls one after another, even those whose callers have disconnected."""
 
     def __init__(self, call_s: float) -> None:
-        """`call_s` is how many seconds one call takes."""
+        """`call_s` is the seconds that one call takes."""
         self._call_s = call_s
         self._calls: queue.Queue[tuple[socket.socket, http.Message]] = queue.Queue()
         super().__init__()
@@ -123,7 +123,7 @@
 
 
 class TimedEndpoint(ScriptedEndpoint):
-    """An endpoint that keeps when each call came."""
+    """An endpoint that records when each call arrived."""
 
     def __init__(self) -> None:
         self.received_at: list[float] = []
@@ -135,14 +135,14 @@
 
 
 def settings_for_fleet(fleet_size: int) -> dict[str, object]:
-    """The platform's settings for a fleet of so many."""
+    """The settings for a fleet of `fleet_size` nodes."""
     settings = copy.deepcopy(SETTINGS)
     settings["balancers"] = fleet_size
     return settings
 
 
 class ListFollower:
-    """A node's part that follows the list, with the decisions on when it asks; all of it in real time."""
+    """The part of a node that follows the list, including the decisions when to call; runs in real time."""
 
     def __init__(self, service: ScriptedPlatform, fleet_size: int, seed: int, pushed: bool) -> None:
         raw_settings = settings_for_fleet(fleet_size)
@@ -155,7 +155,7 @@
         self._turn(reader.parse_update(service.document(), api.UpdateScope.CACHED))
 
     def on_update(self, update: api.EndpointsUpdated) -> None:
-        """The list, a change of it, or the failure of a call has been heard."""
+        """Called with each list, each change of it and each failure of a call."""
 
     def _post(self, update: api.EndpointsUpdated) -> None:
         self.on_update(update)
@@ -174,6 +174,6 @@
         self._turn(api.TimerFired(token))
 
     def close(self) -> None:
-        """End all that is under way."""
+        """End all greenlets and calls."""
         gevent.killall(self._greenlets)
         self.discovery.close()
--- a/tests/node/settings_support.py
+++ b/tests/node/settings_support.py
@@ -1,4 +1,4 @@
-"""A node that follows its settings, beside the stand-in of a cluster that publishes them."""
+"""A node with dynamic settings, and a stand-in for the cluster that publishes them."""
 
 import contextlib
 import json
@@ -17,19 +17,19 @@
 
 PREFIX = "/irisstack/settings/"
 POLL_INTERVAL_S = 0.005
-"""Seconds between two looks of the cluster's thread at what a test wants."""
+"""Seconds between checks of the cluster's thread for an operation of a test."""
 
 LANES: dict[str, dict[str, Any]] = {lane["name"]: lane for lane in SETTINGS["lanes"]}
-"""The classes of the node's file, by name."""
+"""The classes in the node's file, by name."""
 
 
 def lane_items(*names: str, **others: Mapping[str, Any]) -> dict[str, Any]:
-    """Items of these classes of the file, and of others."""
+    """The items that define the named classes of the file, and others as given."""
     return {f"lanes/{name}": lane for name, lane in [*((n, LANES[n]) for n in names), *others.items()]}
 
 
 class SettingsCluster:
-    """A cluster of one member on a hub of its own, in a thread of its own."""
+    """A cluster of one member that runs in its own thread with its own gevent hub."""
 
     def __init__(self) -> None:
         self._operations: SimpleQueue[tuple[Callable[[EtcdServer], Any], Future[Any]]] = SimpleQueue()
@@ -54,7 +54,7 @@
         return future.result()
 
     def publish(self, items: Mapping[str, Any], *deleted_paths: str) -> int:
-        """Set items and delete others in one revision, which is returned."""
+        """Set items and delete others in one revision; returns that revision."""
         puts = [etcd.PutRequest(f"{PREFIX}{p}".encode(), json.dumps(v).encode()) for p, v in items.items()]
         deletes = [etcd.DeleteRangeRequest(f"{PREFIX}{path}".encode()) for path in deleted_paths]
 
@@ -70,13 +70,13 @@
 
 
 def logged_events(node: Node, event: str) -> list[dict[str, Any]]:
-    """The node's lines of this event, of all of its lives."""
+    """The log lines with this event, of all processes of the node."""
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
 def wait_until_in_force(node: Node, revision: int) -> None:
-    """Wait until a revision, or a later one, is in force in this life of the node."""
+    """Wait until a revision, or a later one, is in force in the node's current process."""
 
     def reached() -> bool:
         lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
@@ -94,7 +94,7 @@
 def dynamic_settings_node(
     folder: Path, *endpoints: ScriptedEndpoint, start: bool = True, **config_data: Any
 ) -> Iterator[tuple[Node, ScriptedPlatform, SettingsCluster]]:
-    """A node that follows a cluster, which has published nothing yet; the endpoints are of destination 1."""
+    """A node that follows a cluster without published settings; the endpoints belong to destination 1."""
     platform, cluster = ScriptedPlatform(), SettingsCluster()
     for number, peer in enumerate(endpoints, start=1):
         platform.add_member(peer, number, cell=1)
--- a/tests/node/soak_discovery.py
+++ b/tests/node/soak_discovery.py
@@ -1,4 +1,4 @@
-"""The soak's discovery: calls for the list fail by chance, and one endpoint drains or goes now and then."""
+"""Discovery for the soak test: list calls fail at random, and one endpoint drains or is deleted at times."""
 
 import socket
 import threading
@@ -13,14 +13,15 @@
 SCRIPTED_CALLS = 200
 FAILURE_PROBABILITY = 0.6
 MAX_CONSECUTIVE_FAILURES = 2
-"""Calls that fail one after another: with more of them discovery cannot be reached in time."""
+"""With more failures in a row, discovery could not be reached in time."""
 SHORT_ABSENCE_S, LONG_ABSENCE_S = (0.3, 2.0), (8.0, 11.0)
-"""Seconds for which the endpoint is away: less, or more, than it takes until a node counts as told."""
+"""Ranges of seconds for which the endpoint is away: below, or above, the notification deadline."""
 PAUSE_S = (0.0, 1.0)
+"""Range of seconds between two drains."""
 
 
 class SoakDiscovery(ScriptedDiscovery):
-    """Keeps in the play when it has a drain, and when it has written it to the watch that the node holds."""
+    """Records in the soak run when it has written a drain to the watch that the node holds."""
 
     def __init__(self, soak_run: SoakRun) -> None:
         super().__init__(*_call_behaviors(Random(soak_run.seed + 2)))
@@ -41,7 +42,7 @@
 
 
 def _call_behaviors(random: Random) -> list[CallBehavior]:
-    """What becomes of one call after another; the first fail, so that the first drain is missed."""
+    """The treatment of consecutive calls; the first ones fail, so that the first drain is missed."""
     failing = [behavior for behavior in CallBehavior if behavior is not CallBehavior.SERVED]
     behaviors: list[CallBehavior] = random.choices(failing, k=MAX_CONSECUTIVE_FAILURES)
     for _ in range(SCRIPTED_CALLS):
@@ -52,7 +53,7 @@
 
 
 class DrainInjector(threading.Thread):
-    """Takes one endpoint off the list and puts it back, over and over."""
+    """Drains or deletes one endpoint in the list and restores it, repeatedly."""
 
     def __init__(
         self, soak_run: SoakRun, discovery: SoakDiscovery, endpoint_number: int, member: dict[str, Any]
--- a/tests/node/test_list_calls.py
+++ b/tests/node/test_list_calls.py
@@ -1,4 +1,4 @@
-"""The list's one clock: what has fallen silent is broken in time, and nothing that was read is lost."""
+"""List calls: a stalled call is given up in time, no update is lost, and the next call is in time."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -52,7 +52,7 @@
 def running_discovery(
     post: Callable[[api.EndpointsUpdated], None], pushed: bool = False
 ) -> Iterator[tuple[Discovery, socket.socket]]:
-    """What follows the list, and where it looks for it."""
+    """A running discovery actor and the server that it calls."""
     with listening_socket() as server:
         discovery = Discovery(server.getsockname(), ListReader(read(Reader(SETTINGS))), post, 4, pushed)
         worker = gevent.spawn(discovery.run)
@@ -62,14 +62,14 @@
 
 
 def accept(server: socket.socket) -> tuple[socket.socket, bytes]:
-    """The next call to discovery and its head."""
-    with gevent.Timeout(20.0, AssertionError("no call came")):
+    """The next connection to the server and the head of its request."""
+    with gevent.Timeout(20.0, AssertionError("no connection arrived")):
         connection, _ = server.accept()
         return connection, connection.recv(65536)
 
 
 def trickle(connection: socket.socket, data: bytes) -> None:
-    """Endlessly a byte at a time, far sooner each than the silence that is borne."""
+    """Send a byte at a time, at intervals far below the silence time-out."""
     with suppress(OSError):
         for byte in data:
             connection.sendall(bytes([byte]))
@@ -77,15 +77,17 @@
 
 
 ENDLESS_OBJECT = b'{"revision": 5, "members": ["' + b"x" * 100_000
-STALLED_ANSWERS: dict[str, tuple[bytes, bytes]] = {  # what comes at once, and what trickles then
-    "says nothing": (b"", b""),
+STALLED_ANSWERS: dict[
+    str, tuple[bytes, bytes]
+] = {  # the bytes sent at once, and those that trickle after them
+    "no bytes": (b"", b""),
     "an answer's head": (RESPONSE_HEAD, b""),
     "half a head": (RESPONSE_HEAD[:20], b""),
     "after an object": (RESPONSE_HEAD + chunk(document(5)), b""),
-    "after an empty line": (RESPONSE_HEAD + chunk("\n"), b""),
-    "an object without end": (RESPONSE_HEAD + b"ffffff\r\n", ENDLESS_OBJECT),
-    "a chunk's length without end": (RESPONSE_HEAD, b"0" * 10_000),
-    "a head without end": (b"HTTP/1.1 200 OK\r\nX: ", b"y" * 10_000),
+    "after a heartbeat": (RESPONSE_HEAD + chunk("\n"), b""),
+    "an endless object": (RESPONSE_HEAD + b"ffffff\r\n", ENDLESS_OBJECT),
+    "an endless chunk size": (RESPONSE_HEAD, b"0" * 10_000),
+    "an endless head": (b"HTTP/1.1 200 OK\r\nX: ", b"y" * 10_000),
 }
 
 
@@ -108,7 +110,7 @@
             trickling.kill()
         assert failed.silent_for >= list_call.SILENCE_TIMEOUT_S
         discovery.mailbox.put(api.Subscribe(True) if watch else api.FetchEndpoints())
-        accept(server)[0].close()  # nothing keeps the next call from starting
+        accept(server)[0].close()  # the next call can start
 
 
 def test_heartbeats_and_objects_keep_a_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -140,7 +142,7 @@
 
 
 def test_overdue_connect_reports_no_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection that does not come up costs the service nothing, however long it is waited for."""
+    """While the connection is not established, the service has not been reached, however long that takes."""
     monkeypatch.setattr(list_call, "ANSWER_OVERDUE_AFTER_S", 0.3)
     monkeypatch.setattr("irisstack.node.sockets.connect", lambda *_: gevent.sleep(60.0))
     updates: list[api.EndpointsUpdated] = []
@@ -183,7 +185,7 @@
 
 
 def test_update_is_requested_again_if_the_watch_ends_before_it_is_posted() -> None:
-    """The way to the module may be full just then: what was read and not handed on is not known yet."""
+    """The decision module's mailbox may be full: an update that is parsed but not posted is not known yet."""
     post_allowed = Event()
     updates: list[api.EndpointsUpdated] = []
 
@@ -209,7 +211,7 @@
 
 
 def test_watch_at_a_new_address_is_kept_despite_a_late_subscription() -> None:
-    """Its place was lost, and the module meant to ask again, when the file named another address."""
+    """The old watch was lost, and a new subscription was due when the file named a new address."""
     updates: list[api.EndpointsUpdated] = []
     with running_discovery(updates.append) as (discovery, server), listening_socket() as new_server:
         discovery.mailbox.put(api.Subscribe(True))
@@ -223,7 +225,7 @@
         wait_until(lambda: updates[-1].version == 2)
         discovery.mailbox.put(api.Subscribe(True))
         wait_until(discovery.mailbox.empty)
-        gevent.sleep(0.05)  # a watch held anew would have dialled
+        gevent.sleep(0.05)  # a new watch would have connected by now
         new_server.settimeout(0.0)
         with pytest.raises(BlockingIOError):
             new_server.accept()
@@ -231,7 +233,7 @@
 
 
 def test_blocked_post_and_full_mailbox_do_not_deadlock() -> None:
-    """The module's side fills the mailbox while what follows the list waits to be heard by it."""
+    """The decision module fills the mailbox while the discovery actor waits to post an update to it."""
     post_allowed = Event()
     with running_discovery(lambda update: post_allowed.wait() and None) as (discovery, server):
         discovery.mailbox.put(api.Subscribe(True))
@@ -245,7 +247,9 @@
 
 
 VALID_UPDATE = {"revision": 6, "complete": True, "members": [member(1), member(2)]}
-UPDATES: dict[str, tuple[Any, int | None]] = {  # an object, and how many endpoints it is good for, if any
+UPDATES: dict[
+    str, tuple[Any, int | None]
+] = {  # an update and the number of endpoints it yields; `None` if it is rejected
     "no members": ({"revision": 6, "complete": True, "members": []}, 0),
     "one bad member": (
         {**VALID_UPDATE, "members": [member(1), {"id": 5}, None, "x", {**member(3), "cell": "y"}]},
@@ -254,11 +258,11 @@
     "a member twice": ({**VALID_UPDATE, "members": [member(1), member(1)]}, 2),
     "an address twice": ({**VALID_UPDATE, "members": [member(1), {**member(1), "id": "other"}]}, 3),
     "a port of 0": ({**VALID_UPDATE, "members": [{**member(1), "host_port": "10.0.0.1:0"}, member(2)]}, 1),
-    "a host by name": ({**VALID_UPDATE, "members": [{**member(1), "host_port": "there:7070"}, member(2)]}, 1),
-    "an endless size": ({**VALID_UPDATE, "members": [{**member(1), "size": 1e999}, member(2)]}, 2),
+    "a host name": ({**VALID_UPDATE, "members": [{**member(1), "host_port": "there:7070"}, member(2)]}, 1),
+    "an infinite size": ({**VALID_UPDATE, "members": [{**member(1), "size": 1e999}, member(2)]}, 2),
     "no revision": ({"complete": True, "members": [member(1)]}, None),
-    "members that are no list": ({**VALID_UPDATE, "members": 5}, None),
-    "neither whole nor a change": ({"revision": 6, "members": [member(1)]}, None),
+    "members that are not a list": ({**VALID_UPDATE, "members": 5}, None),
+    "complete is missing": ({"revision": 6, "members": [member(1)]}, None),
 }
 
 
@@ -274,22 +278,22 @@
             connection.sendall(RESPONSE_HEAD + chunk(json.dumps(raw_update) + "\n") + chunk(document(7)))
             wait_until(lambda: updates and (updates[-1].version == 7 or endpoint_count is None))
         first, known_revision = updates[0], discovery._revision
-    if endpoint_count is None:  # said once, and asked for again from what is known
+    if endpoint_count is None:  # reported as failed once and requested again from the known revision
         assert (first.scope, known_revision) == (api.UpdateScope.FAILED, 4)
     else:
         assert (first.version, len(first.endpoints)) == (6, endpoint_count)
 
 
-# ---- what is decided on it ----
+# ---- when the decision module calls again ----
 
 ANSWER_S = 0.5
-"""Seconds that a call for the list may take once its service can answer."""
+"""Seconds that a list call may take once its service can answer."""
 
 
 @pytest.mark.parametrize("senders", [2, 20, 200])
 @pytest.mark.parametrize("silent_for", [0.0, 0.1, 1.0, SILENCE_TIMEOUT_S])
 def test_next_call_after_a_failure_is_in_time_for_the_missed_update(senders: int, silent_for: float) -> None:
-    """Due 6 s after the service had it and could be reached; here over the first failure of many senders."""
+    """An update is due 6 s after the service had it and could be reached; here for the first failure."""
     waits = []
     for seed in range(30):
         driver = Driver(
@@ -303,7 +307,7 @@
         driver.turn(90.0)
         waits.append(driver.subscribed[before] - 60.0)
     assert silent_for + max(waits) + ANSWER_S <= 6.0
-    assert senders == 2 or max(waits) - min(waits) > 0.4  # they do not all come back at once
+    assert senders == 2 or max(waits) - min(waits) > 0.4  # the calls of a fleet are spread over time
 
 
 def test_retries_stay_frequent_during_a_long_outage() -> None:
@@ -336,7 +340,7 @@
 
 
 def test_silent_watch_is_replaced_in_time_where_lists_are_pushed() -> None:
-    """Also where the call that takes its place is late, and each pause is the longest that is drawn."""
+    """Even if the call that replaces it is overdue and each pause is the longest that can be drawn."""
     assert (
         WATCH_OVERDUE_AFTER_S
         + 1.5 * WATCH_RETRY_PAUSE_S
--- a/tests/node/test_list_reader.py
+++ b/tests/node/test_list_reader.py
@@ -1,4 +1,4 @@
-"""A line that says an endpoint drains or is gone is heeded, whatever else of it cannot be read."""
+"""A list entry of a draining or deleted endpoint takes effect even if the rest of it cannot be parsed."""
 
 from typing import Any
 
@@ -18,13 +18,13 @@
     "up_since_ms": 0,
 }
 MALFORMED_FIELDS: dict[str, dict[str, Any]] = {
-    "a flavor that nobody knows": {"flavor": "unheard-of"},
-    "a flavor that is no name": {"flavor": ["plain"]},
-    "a cell that is no number": {"cell": "one"},
-    "a size that is no number": {"size": "large"},
-    "a start that is no time": {"up_since_ms": "yesterday"},
-    "a place that cannot be read": {"host_port": "10.0.0.1"},
-    "a place that is none": {"host_port": None},
+    "an unknown flavor": {"flavor": "unheard-of"},
+    "a flavor that is not a string": {"flavor": ["plain"]},
+    "a cell that is not a number": {"cell": "one"},
+    "a size that is not a number": {"size": "large"},
+    "a start that is not a time": {"up_since_ms": "yesterday"},
+    "an address without a port": {"host_port": "10.0.0.1"},
+    "no address": {"host_port": None},
 }
 STATES = {"DRAINING": api.EndpointState.DRAINING, "DELETED": api.EndpointState.GONE}
 
@@ -40,7 +40,7 @@
             case: {**KNOWN_MEMBER, **malformed, "phase": phase}
             for case, malformed in MALFORMED_FIELDS.items()
         }
-        members["nothing else"] = {"id": KNOWN_MEMBER["id"], "phase": phase}
+        members["only the id and the phase"] = {"id": KNOWN_MEMBER["id"], "phase": phase}
         for case, member in members.items():
             for max_waiting in (0, 10):
                 reader = ListReader(read(Reader(SETTINGS)), max_waiting)
--- a/tests/node/test_list_update_deadline.py
+++ b/tests/node/test_list_update_deadline.py
@@ -1,18 +1,13 @@
-"""A node that missed a change of the endpoint list has to have it 6 s after its service had it.
-
-In staging, under fault injection, a node sent a request to a server that was draining, 0.32 s after
-the node counted as told. A call for the list was answered 503, and the next one fell silent, as all
-open watches did. The node waited 3.5 s until it gave the silent call up, and then paused: a call
-that had kept it waiting, right after another failure, lifted the bound that holds the next call
-within the 6 s in which its news is due. So the third call could come when the server had been
-draining for more than 6 s.
-
-What settled it: a replay of the run, in which the rule held by luck, logged on one node
-`watch_ended` with status 503 at 0.515 s and `list_not_had` with `nothing came by the deadline` at
-4.627 s. In the run that broke, two of six nodes had no answer of discovery's at all by the time of
-the request, 7.641 s; the node counted as told at 7.32 s, so the change had been missed at 1.32 s.
-With six nodes the pause after the second failure is drawn from 1.2 to 3.6 s, and 2.9 s and more are
-too late: a quarter of the draws.
+"""A node must have an update of the endpoint list 6 s after discovery had it, even if list calls fail.
+
+The fault: one call was answered 503, and the next fell silent, as did all open watches. The node gave the
+silent call up after 3.5 s and then paused. The pause was not bounded: a call that had kept the node waiting,
+right after another failure, lifted the bound that keeps the next call within the 6 s of the notification
+deadline. With six nodes this pause is drawn from 1.2 to 3.6 s, and from 2.9 s on, a quarter of the draws, the
+third call is too late.
+
+In a staging run with injected faults, a node missed an update at 1.32 s, which counted as notified at 7.32 s,
+and sent a request to the draining server at 7.641 s, 0.32 s after that.
 """
 
 import socket
@@ -34,19 +29,19 @@
 from tests.node_support import Node, ScriptedEndpoint, eventually, running_node
 
 NOTIFICATION_DEADLINE_S = 6.0
-"""Seconds after which a node counts as told of what the service has, whether or not it has heard."""
+"""Seconds after which an update of the list counts as notified, whether or not it arrived."""
 NOTIFICATION_DEADLINE_AFTER_MOVE_S = 4.0
-"""And after the node was told to look for its list elsewhere."""
+"""The same in seconds after the address of discovery changed."""
 DRAIN_GRACE_S = 0.3
-"""Seconds in which calls to a draining endpoint may still begin then."""
+"""Seconds after the deadline in which calls to a draining endpoint may still start."""
 STALL_ALLOWANCE_S = 0.15
-"""Seconds for which the node may be held up between reading of a drain and acting on it."""
+"""Seconds for which the node may be stalled between receiving a drain and acting on it."""
 
 
 def test_no_call_reaches_a_draining_server_after_the_grace_when_list_calls_fail(
     tmp_path: Path,
 ) -> None:
-    """The staging run on real processes; with 24 nodes the third call is never in time by chance."""
+    """The staging run with a real process; with 24 nodes the third call is never in time by chance."""
     staying, draining = ScriptedEndpoint(), TimedEndpoint()
     platform = ScriptedDiscovery(CallBehavior.REFUSED, CallBehavior.SILENT)
     platform.add_member(staying, 1, cell=1)
@@ -69,7 +64,7 @@
 
 
 class DrainFollower(ListFollower):
-    """A node's follower whose own service answers as a script says, and drains its endpoint when told to."""
+    """A list follower with its own scripted service, which drains its endpoint on `drain`."""
 
     def __init__(
         self, fleet_size: int, seed: int, behaviors: tuple[CallBehavior, ...], pushed: bool = False
@@ -86,7 +81,7 @@
             self.notified_at = self.notified_at or time.monotonic()
 
     def drain(self) -> None:
-        """The service learns of a drain; no watch that is open then is told of it."""
+        """The service sets its endpoint to draining without notifying open watches."""
         self._member["phase"] = "DRAINING"
         self.service.revision += 1
         self.changed_at = time.monotonic()
@@ -109,9 +104,9 @@
     *((B, S), (S, B), (B, B), (R, B, S), (R, B, R), (B, R, B)),
     *((W, S), (W, R, S), (W, S, R), (W, B), (W, B, R), (W, R, R, R), (W, H), (W, T), (W, C, M)),
 )
-"""How calls for the list go wrong one after another, before one is served."""
+"""The failures of consecutive list calls before one is served."""
 LARGE_FLEET_FAILURE_SEQUENCES = ((R, S), (S, R), (W,), (W, R), (B,), (S,))
-"""Those that a fleet of 200 has to outlive: its pauses are longer, for its service's sake."""
+"""The same for a fleet of 200, whose pauses are longer to limit the load of its service."""
 
 
 SLOW_FAILURE_SEQUENCES = (
@@ -124,17 +119,17 @@
     (W, S, B),
     (W, B, S),
 )
-"""Three slow failures in a row, a watch that falls silent among them."""
+"""Three slow failures in a row, some of them with a watch that falls silent."""
 
 
 def late_notifications(followers: list[DrainFollower]) -> dict[str, float | None]:
-    """Drain the endpoint of each once its first call has come; who hears of it late, and how late."""
+    """Drain each endpoint after its follower's first call; returns the late updates, `None` if none came."""
     try:
         waiting = list(followers)
         while waiting:
             gevent.sleep(0.01)
             called = [each for each in waiting if each.service.call_times]
-            gevent.sleep(0.05)  # their first call has been answered, where it is
+            gevent.sleep(0.05)  # time for the first call to be answered, if it is answered
             for follower in called:
                 follower.drain()
                 waiting.remove(follower)
@@ -164,13 +159,13 @@
 
 
 def test_update_arrives_in_time_after_three_slow_failures_in_a_row() -> None:
-    """What happens: news that a node missed as its calls began to fail is had up to 8 s later.
+    """The fault: an update missed as calls began to fail arrived up to 8 s later.
 
-    Each slow call takes 1.2 s until it counts as late, and the pause behind it is a third of what is left
-    until the fifth second, as if the calls to come took no time. Drawn long, the pauses have the third call
-    begin so late that the fourth, the first to be answered, comes after the 6 s.
+    Each slow call takes 1.2 s until it is overdue, and the pause after it was a third of the time left until
+    the fifth second, as if the following calls took no time. With long pauses the third call started so late
+    that the fourth, the first to be answered, came after the 6 s.
 
-    In fleets of under 30 the pause behind a slow call now leaves room for further ones, as many as fit.
+    In fleets of under 30 nodes the pause after a slow call now leaves time for as many further ones as fit.
     """
     assert (
         late_notifications(
@@ -186,7 +181,7 @@
 
 
 def test_pushed_update_arrives_at_once_when_the_service_returns() -> None:
-    """The node's agent counts what it gets at the return of its service as told in that very moment."""
+    """Where lists are pushed, an update counts as notified as soon as the service is back."""
     followers = [DrainFollower(2, seed, (), pushed=True) for seed in range(8)]
     try:
         for follower in followers:
@@ -208,7 +203,7 @@
 
 
 def test_list_arrives_within_four_seconds_of_an_address_change() -> None:
-    """What is had at the address that a SIGHUP names counts as told 4 s after it."""
+    """After SIGHUP names a new address, the list there counts as notified 4 s later."""
     followers = [DrainFollower(24, seed, (), pushed=seed < 4) for seed in range(20)]
     new_services = {follower: ScriptedDiscovery(S, R, S) for follower in followers}
     try:
--- a/tests/node/test_pushed_list.py
+++ b/tests/node/test_pushed_list.py
@@ -1,9 +1,9 @@
-"""The first moments of a process where lists are pushed: what the agent has counts as told at once.
+"""The start of a process where lists are pushed: the agent's list counts as notified at once.
 
-What happens: a node is killed with a message on record, and while it is down the list changes: its server
-drains. The new process has the list of its configuration, in which the server still serves, and sends the
-message by it in its first turn. The list that the agent has comes some milliseconds later, but counts as told
-from the first moment of the process.
+The fault: a node is killed with a pending message, and while it is down the list changes: its server drains.
+The new process starts with the list of its configuration, in which the server still serves, and sends the
+message to it in its first turn. The agent's list arrives some milliseconds later, but counts as notified from
+the start of the process.
 """
 
 import copy
@@ -15,7 +15,7 @@
 from tests.node_support import SETTINGS, Node, ScriptedEndpoint, ScriptedPlatform, eventually, running_node
 
 SETTLED_S = 1.0
-"""Seconds after the start in which a call by the old list would have come."""
+"""Seconds after the start within which a call based on the old list would have arrived."""
 
 
 def pushed_node(folder: Path, platform: ScriptedPlatform) -> Node:
--- a/tests/node/test_settings_parts.py
+++ b/tests/node/test_settings_parts.py
@@ -1,4 +1,4 @@
-"""What each part of the node makes of other settings: configuration, list, endpoints, reports, the start."""
+"""How the parts of a node take new settings: configuration, list reader, endpoints, decider, intake."""
 
 import json
 import os
@@ -111,7 +111,7 @@
     assert node.stderr.count("\n") == 1
 
 
-# ---- what is in force, and the start ----
+# ---- settings in force, and the start ----
 
 
 def live_settings(max_calls_limit: int = 50) -> LiveSettings:
@@ -142,7 +142,7 @@
     with pytest.raises(SettingsError, match=r"^extra\.maxCalls: "):
         live_settings(max_calls_limit=20).check({"extra/maxCalls": 21})
     assert live_settings(max_calls_limit=1).check({"extra/maxCalls": 12}).settings.max_calls == 12, (
-        "as the file has it"
+        "the value of the node's own file is always allowed"
     )
 
 
@@ -295,7 +295,7 @@
         endpoint.mailbox.put(
             Call([OutgoingMessage(number, 0, f"m{number}", "", b"", deadline, deadline)], 0.0)
         )
-        wait_until(lambda: len(results) == number, "an end")
+        wait_until(lambda: len(results) == number, "the result of the attempt")
         result: Result = results[-1].result
         return result
 
@@ -312,15 +312,13 @@
     assert call(1).report == (0.5,)
     endpoint.mailbox.put(Reconfigure(5.0, 60.0, 5, 20, ("x1", "x0")))
     second = call(2)
-    assert (second.report, second.report_fields) == ((7.0, 0.5), ("x1", "x0")), (
-        "on the connection that is kept"
-    )
+    assert (second.report, second.report_fields) == ((7.0, 0.5), ("x1", "x0")), "on the kept-alive connection"
     assert len(endpoint._idle) == 1
     assert endpoint.mailbox.maxsize is not None
     assert endpoint.mailbox.maxsize > capacity
     endpoint.mailbox.put(Reconfigure(5.0, 60.0, 0, 2, ()))
     wait_until(lambda: not endpoint._idle, "an idle connection to be closed")
-    assert endpoint.mailbox.maxsize > capacity, "what was under way may still come"
+    assert endpoint.mailbox.maxsize > capacity, "results of calls in flight may still arrive"
     endpoint.worker.kill()
     accepting.kill()
     server.close()
@@ -344,7 +342,7 @@
 
 
 def record_turns(decider: Decider, monkeypatch: pytest.MonkeyPatch) -> list[list[api.Event]]:
-    """The events of each turn, about which nothing is decided."""
+    """Record the events of each turn in place of making decisions."""
     turns: list[list[api.Event]] = []
 
     def turn(now: float, events: Collection[api.Event]) -> list[api.Action]:
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -1,6 +1,6 @@
-"""The settings' actor on sockets: against the stand-in of etcd, and against peers that speak no HTTP at all.
+"""The settings watch over sockets, against a stand-in for etcd and against members with invalid answers.
 
-No bound here is one of elapsed time; where a time-out has to pass, it is made short.
+No test asserts a bound on elapsed time; time-outs that have to pass are made short.
 """
 
 import json
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Document:
-    """What the check makes of the items."""
+    """The result of a check that accepted the items."""
 
     items: dict[str, Any]
     retired: Mapping[str, Any] = field(default_factory=lambda: {"lanes/gone": {"name": "gone"}})
@@ -43,15 +43,15 @@
 
 def check(items: Mapping[str, Any]) -> Document:
     if items.get("bad"):
-        raise SettingsError(f"bad: nothing is due, not {items['bad']!r}")
+        raise SettingsError(f"bad: expected nothing, got {items['bad']!r}")
     if items.get("broken"):
-        raise ZeroDivisionError("a fault of the check itself")
+        raise ZeroDivisionError("an error in the check")
     return Document(dict(items))
 
 
 @dataclass
 class RunningWatch:
-    """A watch that runs, and what it put in force."""
+    """A running watch and the settings that it put in force."""
 
     watch: SettingsWatch[Document]
     counters: Counters
@@ -85,7 +85,7 @@
     greenlet = gevent.spawn(watch.run)
     try:
         yield RunningWatch(watch, counters, in_force, greenlet)
-        assert not greenlet.dead, "it never ends"
+        assert not greenlet.dead, "the watch must not end"
     finally:
         greenlet.kill()
         for call in list(watch._calls.values()):
@@ -98,14 +98,14 @@
 
 
 def put(server: EtcdServer, **values: Any) -> int:
-    """One revision that sets several keys."""
+    """Set several keys in one revision."""
     items = [(f"{PREFIX}{name}".encode(), json.dumps(value).encode()) for name, value in values.items()]
     return server.cluster.put_all(items)
 
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Time-outs and pauses that a test need not wait long for."""
+    """Shortens time-outs and pauses."""
     monkeypatch.setattr(member_call, "CONNECT_TIMEOUT_S", 0.5)
     monkeypatch.setattr(member_call, "ANSWER_TIMEOUT_S", 0.3)
     monkeypatch.setattr(decisions, "RETRY_BASE_S", 0.1)
@@ -115,7 +115,7 @@
     monkeypatch.setattr(decisions, "LAG_GRACE_S", 0.3)
 
 
-# ---- against the stand-in ----
+# ---- against the stand-in for etcd ----
 
 
 def test_document_and_its_changes_are_applied_and_saved(tmp_path: Path) -> None:
@@ -144,7 +144,7 @@
             running.wait_for(a=3, bad=False)
     refused = [line for line in logs if line["event"] == "settings_refused"]
     assert [(line["revision"], line["reason"]) for line in refused] == [
-        (bad, "bad: nothing is due, not True")
+        (bad, "bad: expected nothing, got True")
     ]
 
 
@@ -228,15 +228,15 @@
 def test_largest_document_is_read_within_the_byte_budget(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The pauses asked for, by the budget's own clock, come to what the bytes cost at its rate."""
+    """The requested pauses add up to the time that the bytes take at the budget's rate."""
     pauses: list[float] = []
 
     def sleep(seconds: float) -> None:
-        """Pass the time at once."""
+        """Record the pause without waiting."""
         pauses.append(seconds)
         gevent.sleep(0)
 
-    real_monotonic = time.monotonic  # the module's own, which the tests' clock goes ahead of
+    real_monotonic = time.monotonic  # the fake clock runs ahead of it by the recorded pauses
     clock = FakeModule(monotonic=lambda: real_monotonic() + sum(pauses))
     monkeypatch.setattr(member_call, "gevent", FakeModule(sleep=sleep))
     for module in (member_call, settings_watch):
@@ -250,13 +250,13 @@
 
 
 class FakeModule:
-    """Stands for a module in which a few functions are replaced."""
+    """Replaces a module by the given functions."""
 
     def __init__(self, **functions: Callable[..., Any]) -> None:
         self.__dict__.update(functions)
 
 
-# ---- against peers that speak no HTTP, or too much of it ----
+# ---- against members with invalid or endless answers ----
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 INVALID_ANSWERS = {
@@ -277,7 +277,7 @@
 
 @contextmanager
 def scripted_member(answer: bytes, afterwards: str) -> Iterator[HostPort]:
-    """A member that answers each request with these bytes, and then ends, is silent or trickles."""
+    """A member that answers each request with these bytes, then closes, stays silent or trickles newlines."""
     with listening_socket() as server:
 
         def serve(client: socket.socket) -> None:
@@ -320,7 +320,7 @@
 
 
 def seed_starting_at(position: int, size: int = 2) -> int:
-    """A seed with which the member at that place is asked first."""
+    """A seed with which the member at this position is called first."""
     names = [str(number) for number in range(size)]
     return next(seed for seed in range(1000) if Members(names, Random(seed)).pick(0.0) == str(position))
 
@@ -385,13 +385,13 @@
 
 
 def fail_first_step(step: Callable[..., Any]) -> Callable[..., Any]:
-    """A step that fails the first time."""
+    """Wrap `step` so that the first call raises."""
     failed_before: list[bool] = []
 
     def step_or_fail(*arguments: Any) -> Any:
         if not failed_before:
             failed_before.append(True)
-            raise ZeroDivisionError("a fault")
+            raise ZeroDivisionError("an error")
         return step(*arguments)
 
     return step_or_fail
--- a/tests/node/test_slow_list_service.py
+++ b/tests/node/test_slow_list_service.py
@@ -1,13 +1,13 @@
-"""A service of the list that is slow and works through calls in turn, and a small fleet that asks it at once.
+"""A small fleet that calls a slow discovery service at once, which serves calls one by one.
 
-What happens: six nodes start together while their service takes 0.8 s for a call. All six calls could be
-answered within 4.8 s, but a node gives its call up after 3.5 s, or for its third call beside it, and asks
-again at the end of the queue. The service works through calls that nobody waits for, and falls behind. In
-the model of `irisstack.lab.scale` the last node has the list after 19 s in the mean of six plays, and after
-45 s where a call takes 1.33 s; where lists are pushed, never within the minute that was played.
+The fault: six nodes start together while their service takes 0.8 s for a call. All six calls could be
+answered within 4.8 s, but a node gave its call up after 3.5 s, or when it started a third parallel call, and
+called again at the end of the queue. The service kept working on calls that nobody waited for and fell
+behind. In the model of `irisstack.lab.scale` the last node had the list after 19 s in the mean of six runs,
+and after 45 s where a call takes 1.33 s; where lists are pushed, never within the simulated minute.
 
-A call that has not been answered keeps its place: the two oldest stay, however many are begun beside them,
-and the model's six nodes have the list after 4.9 s, the least there is.
+An unanswered call now keeps its place in the queue: the two oldest stay, however many are started in
+parallel. In the model the six nodes then have the list after 4.9 s, the minimum.
 """
 
 import time
@@ -22,11 +22,11 @@
 FLEET_SIZE = 6
 CALL_S = 0.8
 NOTIFICATION_DEADLINE_S = 6.0
-"""Seconds after which a node counts as told of what the service has, whether or not it has heard."""
+"""Seconds after which an update of the list counts as notified, whether or not it arrived."""
 
 
 class TimedFollower(ListFollower):
-    """Keeps when it first had the list."""
+    """Records when it first received the list."""
 
     list_received_at = 0.0
 
