--- a/irisstack/shadow.py
+++ b/irisstack/shadow.py
@@ -40,13 +40,13 @@
         self._trial_home_zone = trial.zone if trial.cross_zone_price else None
 
     def _record_failure(
-        self, scope: BreakerScope, reason: api.Outcome | None, from_gossip: bool = False
+        self, scope: BreakerScope, outcome: api.Outcome | None, from_gossip: bool = False
     ) -> bool:
         breaker = self._breakers.get(scope)
         counted = breaker is None or self._now >= breaker.open_until
         failures_before = breaker.failures if breaker is not None and self._now < breaker.window_end else 0
-        opened = super()._record_failure(scope, reason, from_gossip)
-        if self._trial_adds_gossip and counted and reason not in (api.Outcome.FULL, api.Outcome.RESET):
+        opened = super()._record_failure(scope, outcome, from_gossip)
+        if self._trial_adds_gossip and counted and outcome not in (api.Outcome.FULL, api.Outcome.RESET):
             self._count(Divergence.NOTE)
         if self._trial_adds_gossip and opened and failures_before + 1 < FAILURE_THRESHOLD:
             self._count(Divergence.OPENED_ALONE)
@@ -77,7 +77,7 @@
     def _give_up(self, message: Message) -> None:
         message_class = message.message_class
         # The latest start of an attempt depends on the class, so it is computed again under the trial class.
-        if message.maybe_ran is not None and self._latest_attempt_start(message) < self._now:
+        if message.may_have_run_at is not None and self._latest_attempt_start(message) < self._now:
             message.message_class = self._trial.classes[message.class_index]
             if (
                 message.attempts < self._trial.max_attempts
