--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -22,7 +22,7 @@
 MAX_WATCHES = 4
 """Concurrent watch calls."""
 OLDEST_WATCHES_KEPT = 2
-"""The oldest of these, which are not evicted: a service that works in order answers them first."""
+"""The oldest watch calls that are never evicted: a service that works in order answers them first."""
 NOTIFICATION_DEADLINE_AFTER_MOVE_S = 4.0
 """Seconds that replace `NOTIFICATION_DEADLINE` when the address of discovery changes."""
 MAX_LOGGED_ENDPOINTS = 8
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -29,7 +29,7 @@
 An update missed since the last one must arrive within 6 s of it, even if the next call is overdue too.
 """
 SILENCE_TIMEOUT_S = 3.5
-"""Seconds after which a call ends: to connect, and once an answer began, without an object or a heartbeat."""
+"""Seconds allowed for the connect, and without an object or a heartbeat once an answer has begun."""
 ANSWER_TIMEOUT_S = 120.0
 """Seconds after which a call that has not received a byte ends.
 
@@ -152,7 +152,7 @@
             if not self._receive():
                 answer = reader.finish_at_eof()
                 if answer is None:
-                    raise ConnectionResetError("the answer ended early")
+                    raise ConnectionResetError("the connection ended before the answer was complete")
                 break
         return answer
 
--- a/tests/node/test_list_update_deadline.py
+++ b/tests/node/test_list_update_deadline.py
@@ -69,7 +69,7 @@
     def __init__(
         self, fleet_size: int, seed: int, behaviors: tuple[CallBehavior, ...], pushed: bool = False
     ) -> None:
-        self.name = f"{fleet_size} senders, seed {seed}, {', '.join(behavior.name for behavior in behaviors)}"
+        self.name = f"{fleet_size} nodes, seed {seed}, {', '.join(behavior.name for behavior in behaviors)}"
         self.service = ScriptedDiscovery(*behaviors)
         self._endpoint = ScriptedEndpoint()
         self._member = self.service.add_member(self._endpoint, 1, cell=1)
--- a/tests/node/test_settings_parts.py
+++ b/tests/node/test_settings_parts.py
@@ -119,7 +119,7 @@
 
 
 def class_names(settings: api.Settings) -> list[str]:
-    return [kind.name for kind in settings.classes]
+    return [message_class.name for message_class in settings.classes]
 
 
 def test_check_does_not_put_settings_in_force() -> None:
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -264,13 +264,13 @@
     "half a head": RESPONSE_HEAD,
     "half a body": RESPONSE_HEAD + b'Content-Length: 500\r\n\r\n{"header"',
     "an endless head": RESPONSE_HEAD + b"X: " + b"y" * 30_000,
-    "no HTTP": b"\x00\xff\r\n\r\n",
-    "no JSON": RESPONSE_HEAD + b"Content-Length: 5\r\n\r\n<htm>",
-    "a body too long": RESPONSE_HEAD + b"Content-Length: 99999999\r\n\r\n",
+    "not HTTP": b"\x00\xff\r\n\r\n",
+    "not JSON": RESPONSE_HEAD + b"Content-Length: 5\r\n\r\n<htm>",
+    "a content length above the limit": RESPONSE_HEAD + b"Content-Length: 99999999\r\n\r\n",
     "an endless body": RESPONSE_HEAD + b"\r\n" + b" " * 700_000,
-    "chunks of nonsense": RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\nZZ\r\n",
+    "malformed chunks": RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\nZZ\r\n",
     "an upgrade": b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n\x00",
-    "a proxy's error": b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 6\r\n\r\n<html>",
+    "an error of a proxy": b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 6\r\n\r\n<html>",
     "an empty object": RESPONSE_HEAD + b"Content-Length: 2\r\n\r\n{}",
 }
 
@@ -326,11 +326,11 @@
 
 
 INVALID_STREAMS = {
-    "an end": b"",
-    "no JSON": b"9\r\n<nonsense\r\n",
+    "an immediate end": b"",
+    "not JSON": b"9\r\n<nonsense\r\n",
     "half a frame": b'400\r\n{"result": {"header"',
     "an endless frame": b'FFFFFF\r\n{"result": {"x": "' + b"y" * 400_000,
-    "an error": b'35\r\n{"error":{"grpc_code":14,"message":"no leader at all"}}\r\n',
+    "an etcd error": b'35\r\n{"error":{"grpc_code":14,"message":"no leader at all"}}\r\n',
 }
 
 
