--- a/irisstack/dynamic_settings/document.py
+++ b/irisstack/dynamic_settings/document.py
@@ -1,10 +1,10 @@
-"""The settings document that a stream's items make together with a node's own file.
+"""Composes the settings document from the items in etcd and the settings in the node's own file.
 
-Pure. An item is a path below the stream's prefix with a JSON value. `lanes/NAME`, `tenants/NAME` and
-`kinds/NAME` define one member of a list; if the stream defines any member, the whole list is the stream's.
-Every other path names a place in the settings object of the node's file, over which the value is laid:
-objects key by key, any other value whole. Errors are `SettingsError` and begin with the path of the item at
-fault.
+Pure functions. An item is a path below the watched prefix with a JSON value. `lanes/NAME` (message classes),
+`tenants/NAME` and `kinds/NAME` define one member of a list; if there is any item for a list, the items
+replace the file's whole list. Every other path names a place in the settings object of the file, which the
+value overrides: objects are merged key by key, other values replaced. Errors are `SettingsError` and begin
+with the path of the invalid item.
 """
 
 import json
@@ -16,7 +16,7 @@
 from irisstack.settings import DEDUP_SCOPES, EFFECTS, Reader, SettingsError, message_class, tenant
 
 LANES, TENANTS, KINDS = "lanes", "tenants", "kinds"
-LISTS = (LANES, TENANTS, KINDS)
+MEMBER_LISTS = (LANES, TENANTS, KINDS)
 """First parts of paths that define one member of a list."""
 SECTIONS = frozenset(
     {
@@ -35,229 +35,241 @@
         "weights",
     }
 )
-"""First parts of paths at which a value is laid over the file's."""
-KIND_LISTS = ("batchByKind", "separateRoutes")
-"""Lists under `extra` that run parallel to the kinds, which are set one by one."""
+"""First parts of paths at which a value overrides the file's."""
+PER_KIND_LISTS = ("batchByKind", "separateRoutes")
+"""Lists under `extra` that are parallel to the list of kinds; items set them with each kind."""
 
 
 def compose(
     base: Mapping[str, Any], items: Mapping[str, Any], retired: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
-    """The settings document of a node: its file's settings with the items laid over them.
+    """The settings document of a node: the settings of its file, overridden by the items.
 
-    `retired` holds definitions, by path, of classes and kinds that went and are still needed; they follow the
-    others in their lists. A document that defines one of these otherwise is refused.
+    `retired` holds definitions, by path, of removed classes and kinds that are still needed; they come last
+    in their lists. Items that define one of these in an incompatible way are refused.
     """
     check_size(items)
     _check_paths(items)
     document: dict[str, Any] = dict(base)
     for path in sorted(items):
-        if path.partition("/")[0] not in LISTS:
-            document = _laid_at(document, path, path.split("/"), items[path])
-    lists = {name: _members(items, name) for name in LISTS}
+        if path.partition("/")[0] not in MEMBER_LISTS:
+            document = _overlay_at(document, path, path.split("/"), items[path])
+    lists = {name: _items_of_list(items, name) for name in MEMBER_LISTS}
     if lists[LANES]:
-        document["lanes"] = _in_order(base.get("lanes"), _lanes(lists[LANES]))
+        document["lanes"] = _ordered_values(base.get("lanes"), _class_items(lists[LANES]))
     if lists[TENANTS]:
-        document["tenants"] = _in_order(base.get("tenants"), _tenants(lists[TENANTS]))
+        document["tenants"] = _ordered_values(base.get("tenants"), _tenant_items(lists[TENANTS]))
     if lists[KINDS]:
-        document = _with_kinds(document, _kinds_in_order(base.get("shapes"), _kinds(lists[KINDS])))
+        document = _with_kinds(document, _ordered_kinds(base.get("shapes"), _parse_kinds(lists[KINDS])))
     return _with_retired(document, retired or {})
 
 
-def lane(kind: MessageClass) -> dict[str, Any]:
-    """A class as the settings list writes it."""
+def class_item(definition: MessageClass) -> dict[str, Any]:
+    """A message class in the form of the settings file."""
     effects = {effect: name for name, effect in EFFECTS.items()}
     scopes = {scope: name for name, scope in DEDUP_SCOPES.items()}
     return {
-        "name": kind.name,
-        "repeat": effects[kind.effect],
-        "slo": kind.latency_target,
-        "hardLimit": kind.deadline,
-        "importance": kind.worth,
-        "lateValue": kind.late_worth,
-        "group": scopes[kind.dedup_scope],
-        "window": kind.dedup_window,
-        "keepOrder": kind.ordered,
+        "name": definition.name,
+        "repeat": effects[definition.effect],
+        "slo": definition.latency_target,
+        "hardLimit": definition.deadline,
+        "importance": definition.worth,
+        "lateValue": definition.late_worth,
+        "group": scopes[definition.dedup_scope],
+        "window": definition.dedup_window,
+        "keepOrder": definition.ordered,
     }
 
 
 def kind_item(kind: DestinationKind) -> dict[str, Any]:
-    """A kind as the item at `kinds/NAME` writes it."""
+    """A destination kind in the form of the item at `kinds/NAME`."""
     return {"maxBatch": kind.max_batch, "separateRoutes": kind.separate_routes}
 
 
 # ---- checks of the items ----
 
 
-def check_size(items: Mapping[str, Any], what: str = "the document") -> None:
-    """Refuse items that are no JSON, or hold more together than a document may."""
-    size = sum(item_size(len(path.encode()), len(_compact(path, value))) for path, value in items.items())
+def check_size(items: Mapping[str, Any], subject: str = "the document") -> None:
+    """Refuse items that are not JSON or exceed the size of a document; errors begin with `subject`."""
+    size = sum(item_size(len(path.encode()), len(_encode_json(path, value))) for path, value in items.items())
     if size > MAX_DOCUMENT_BYTES:
-        raise SettingsError(f"{what}: {MAX_DOCUMENT_BYTES} bytes at most are due, not {size}")
+        raise SettingsError(f"{subject}: expected at most {MAX_DOCUMENT_BYTES} bytes, got {size}")
 
 
-def _compact(path: str, value: Any) -> bytes:
+def _encode_json(path: str, value: Any) -> bytes:
     try:
         return json.dumps(value, separators=(",", ":"), allow_nan=False).encode()
     except (TypeError, ValueError, RecursionError) as error:
-        raise SettingsError(f"{path}: a JSON value is due: {error}") from None
+        raise SettingsError(f"{path}: expected a JSON value: {error}") from None
 
 
 def _check_paths(items: Mapping[str, Any]) -> None:
     for path, value in items.items():
         parts = path.split("/")
         if not all(parts):
-            raise SettingsError(f"{path or '(empty path)'}: a path without empty parts is due")
-        if parts[0] in LISTS:
+            raise SettingsError(f"{path or '(empty path)'}: expected a path without empty parts")
+        if parts[0] in MEMBER_LISTS:
             _check_member(path, parts, value)
         elif parts[0] == "shapes":
-            raise SettingsError(f"{path}: kinds are set one by one, at {KINDS}/NAME")
+            raise SettingsError(f"{path}: each kind has its own item, at {KINDS}/NAME")
         elif parts[0] not in SECTIONS:
-            raise SettingsError(f"{path}: no such kind of path; one of {', '.join(_known())} is due first")
+            raise SettingsError(
+                f"{path}: expected a path that begins with one of {', '.join(_known_first_parts())}"
+            )
         elif parts[0] == "extra":
             _check_extra(path, parts, value)
     for path in items:
-        _check_alone(path, items)
+        _check_not_nested(path, items)
 
 
-def _known() -> list[str]:
-    return sorted((*LISTS, *SECTIONS))
+def _known_first_parts() -> list[str]:
+    return sorted((*MEMBER_LISTS, *SECTIONS))
 
 
 def _check_member(path: str, parts: list[str], value: Any) -> None:
     if len(parts) != 2:
-        raise SettingsError(f"{path}: {parts[0]}/NAME is due")
+        raise SettingsError(f"{path}: expected {parts[0]}/NAME")
     if not isinstance(value, Mapping):
-        raise SettingsError(f"{path}: an object is due, not {type(value).__name__}")
+        raise SettingsError(f"{path}: expected an object, got {type(value).__name__}")
     if value.get("name", parts[1]) != parts[1]:
-        raise SettingsError(f"{path}: the name {parts[1]!r} is due, not {value['name']!r}")
+        raise SettingsError(f"{path}: expected the name {parts[1]!r}, got {value['name']!r}")
 
 
 def _check_extra(path: str, parts: list[str], value: Any) -> None:
-    """The lists that run parallel to the kinds cannot be set beside these."""
-    named = parts[1] if len(parts) > 1 else next((key for key in KIND_LISTS if _holds(value, key)), "")
-    if named in KIND_LISTS:
-        raise SettingsError(f"{path}: {named} is set kind by kind, at {KINDS}/NAME")
+    """Refuse the lists that are parallel to the list of kinds: an item at `kinds/NAME` sets their values."""
+    key_name = (
+        parts[1] if len(parts) > 1 else next((key for key in PER_KIND_LISTS if _has_key(value, key)), "")
+    )
+    if key_name in PER_KIND_LISTS:
+        raise SettingsError(f"{path}: {key_name} is set for each kind, at {KINDS}/NAME")
 
 
-def _holds(value: Any, key: str) -> bool:
+def _has_key(value: Any, key: str) -> bool:
     return isinstance(value, Mapping) and key in value
 
 
-def _check_alone(path: str, items: Mapping[str, Any]) -> None:
-    """No item at a path inside another item's path: the two would contradict."""
-    above, _, _ = path.rpartition("/")
-    while above:
-        if above in items:
-            raise SettingsError(f"{path}: lies inside {above}, which another item sets")
-        above, _, _ = above.rpartition("/")
+def _check_not_nested(path: str, items: Mapping[str, Any]) -> None:
+    """Refuse an item inside another item's path: the two could contradict each other."""
+    parent, _, _ = path.rpartition("/")
+    while parent:
+        if parent in items:
+            raise SettingsError(f"{path}: is inside {parent}, which another item sets")
+        parent, _, _ = parent.rpartition("/")
 
 
-# ---- values laid over the file's ----
+# ---- values that override the file's ----
 
 
-def _laid_at(below: Mapping[str, Any], path: str, parts: list[str], value: Any) -> dict[str, Any]:
-    """A copy of `below` with a value laid over what stands at `parts`."""
+def _overlay_at(base: Mapping[str, Any], path: str, parts: list[str], value: Any) -> dict[str, Any]:
+    """A copy of `base` in which `value` overrides the value at `parts`."""
     first, rest = parts[0], parts[1:]
-    present = below.get(first)
+    existing = base.get(first)
     if not rest:
-        return {**below, first: _laid_over(path, present, value)}
-    if present is not None and not isinstance(present, Mapping):
-        raise SettingsError(f"{path}: {first} is no object, so that nothing can be set in it")
-    return {**below, first: _laid_at(present or {}, path, rest, value)}
+        return {**base, first: _overlay(path, existing, value)}
+    if existing is not None and not isinstance(existing, Mapping):
+        raise SettingsError(f"{path}: {first} is not an object, so nothing can be set inside it")
+    return {**base, first: _overlay_at(existing or {}, path, rest, value)}
 
 
-def _laid_over(path: str, below: Any, above: Any) -> Any:
-    if not isinstance(below, Mapping):
-        return above
-    if not isinstance(above, Mapping):
-        raise SettingsError(f"{path}: an object is due, not {type(above).__name__}")
+def _overlay(path: str, base: Any, override: Any) -> Any:
+    if not isinstance(base, Mapping):
+        return override
+    if not isinstance(override, Mapping):
+        raise SettingsError(f"{path}: expected an object, got {type(override).__name__}")
     return {
-        **below,
-        **{key: _laid_over(f"{path}/{key}", below.get(key), value) for key, value in above.items()},
+        **base,
+        **{key: _overlay(f"{path}/{key}", base.get(key), value) for key, value in override.items()},
     }
 
 
 # ---- lists whose members are items ----
 
 
-def _members(items: Mapping[str, Any], of: str) -> dict[str, Any]:
-    """The members of one list by name."""
-    start = f"{of}/"
-    return {path.removeprefix(start): items[path] for path in sorted(items) if path.startswith(start)}
+def _items_of_list(items: Mapping[str, Any], list_name: str) -> dict[str, Any]:
+    """The items that define members of one list, by the member's name."""
+    prefix = f"{list_name}/"
+    return {path.removeprefix(prefix): items[path] for path in sorted(items) if path.startswith(prefix)}
 
 
-def _lanes(members: Mapping[str, Any]) -> dict[str, Any]:
+def _class_items(members: Mapping[str, Any]) -> dict[str, Any]:
+    """The classes' definitions by name, with the name in each; raises `SettingsError` for an invalid one."""
     for name, value in members.items():
         message_class(Reader({**value, "name": name}, f"{LANES}/{name}"))
     return {name: {**value, "name": name} for name, value in members.items()}
 
 
-def _tenants(members: Mapping[str, Any]) -> dict[str, Any]:
+def _tenant_items(members: Mapping[str, Any]) -> dict[str, Any]:
+    """The same for the tenants."""
     for name, value in members.items():
         tenant(Reader({**value, "name": name}, f"{TENANTS}/{name}"))
     return {name: {**value, "name": name} for name, value in members.items()}
 
 
-def _kinds(members: Mapping[str, Any]) -> dict[str, DestinationKind]:
+def _parse_kinds(members: Mapping[str, Any]) -> dict[str, DestinationKind]:
     kinds = {}
     for name, value in members.items():
         reader = Reader(value, f"{KINDS}/{name}")
-        most = reader.integer("maxBatch", 1)
-        if most < 1:
-            raise SettingsError(f"{reader.path('maxBatch')}: 1 or more is due, not {most}")
-        kinds[name] = DestinationKind(name, most, reader.boolean("separateRoutes"))
+        max_batch = reader.integer("maxBatch", 1)
+        if max_batch < 1:
+            raise SettingsError(f"{reader.path('maxBatch')}: expected 1 or more, got {max_batch}")
+        kinds[name] = DestinationKind(name, max_batch, reader.boolean("separateRoutes"))
     return kinds
 
 
-def _in_order(base: Any, members: Mapping[str, Any]) -> list[Any]:
-    """Those that the file names first, in its order, then the others by name."""
-    named = [item.get("name") for item in base if isinstance(item, Mapping)] if isinstance(base, list) else []
-    return [members[name] for name in _names_in_order(named, members)]
+def _ordered_values(base: Any, members: Mapping[str, Any]) -> list[Any]:
+    """First the members that the file lists, in its order, then the others sorted by name."""
+    listed_names = (
+        [item.get("name") for item in base if isinstance(item, Mapping)] if isinstance(base, list) else []
+    )
+    return [members[name] for name in _ordered_names(listed_names, members)]
 
 
-def _kinds_in_order(base: Any, kinds: Mapping[str, DestinationKind]) -> list[DestinationKind]:
-    named = base if isinstance(base, list) else []
-    return [kinds[name] for name in _names_in_order(named, kinds)]
+def _ordered_kinds(base: Any, kinds: Mapping[str, DestinationKind]) -> list[DestinationKind]:
+    listed_names = base if isinstance(base, list) else []
+    return [kinds[name] for name in _ordered_names(listed_names, kinds)]
 
 
-def _names_in_order(first: Iterable[Any], names: Iterable[str]) -> list[str]:
+def _ordered_names(first: Iterable[Any], names: Iterable[str]) -> list[str]:
+    """The names, with those in `first` leading in that order and the others sorted."""
     known = set(names)
-    ahead = [name for name in dict.fromkeys(first) if name in known]
-    return [*ahead, *sorted(known - set(ahead))]
+    leading = [name for name in dict.fromkeys(first) if name in known]
+    return [*leading, *sorted(known - set(leading))]
 
 
 def _with_kinds(document: Mapping[str, Any], kinds: Iterable[DestinationKind]) -> dict[str, Any]:
-    """The document with exactly these kinds, in its three parallel lists."""
+    """The document with these kinds only, in its three parallel lists."""
     kinds = list(kinds)
     extra = document.get("extra", {})
     if not isinstance(extra, Mapping):
-        raise SettingsError(f"extra: an object is due, not {type(extra).__name__}")
-    batches, apart = [kind.max_batch for kind in kinds], [kind.separate_routes for kind in kinds]
+        raise SettingsError(f"extra: expected an object, got {type(extra).__name__}")
+    max_batches, separate_routes = (
+        [kind.max_batch for kind in kinds],
+        [kind.separate_routes for kind in kinds],
+    )
     return {
         **document,
         "shapes": [kind.name for kind in kinds],
-        "extra": {**extra, "batchByKind": batches, "separateRoutes": apart},
+        "extra": {**extra, "batchByKind": max_batches, "separateRoutes": separate_routes},
     }
 
 
-# ---- what went and is still needed ----
+# ---- removed definitions that are still needed ----
 
 
 def _with_retired(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
-    document = _with_retired_lanes(document, _lanes(_members(retired, LANES)))
-    kinds = _kinds(_members(retired, KINDS))
+    document = _with_retired_classes(document, _class_items(_items_of_list(retired, LANES)))
+    kinds = _parse_kinds(_items_of_list(retired, KINDS))
     return _with_retired_kinds(document, kinds) if kinds else document
 
 
-def _with_retired_lanes(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
+def _with_retired_classes(document: dict[str, Any], retired: Mapping[str, Any]) -> dict[str, Any]:
     if not retired:
         return document
-    present = {reader.text("name"): message_class(reader) for reader in Reader(document).sections("lanes")}
+    existing = {reader.text("name"): message_class(reader) for reader in Reader(document).sections("lanes")}
     added = []
     for name, value in retired.items():
-        if name in present:
-            check_same_terms(present[name], message_class(Reader(value)))
+        if name in existing:
+            check_class_compatible(existing[name], message_class(Reader(value)))
         else:
             added.append(value)
     return {**document, "lanes": [*document["lanes"], *added]}
@@ -266,21 +278,24 @@
 def _with_retired_kinds(document: dict[str, Any], retired: Mapping[str, DestinationKind]) -> dict[str, Any]:
     reader = Reader(document)
     names, extra = reader.texts("shapes"), reader.section("extra")
-    batches, apart = extra.per_name("batchByKind", names, 1), extra.per_name("separateRoutes", names, False)
-    present = dict(zip(names, map(DestinationKind, names, batches, apart), strict=True))
-    for name in retired.keys() & present.keys():
-        check_same_routes(present[name], retired[name])
-    added = [kind for name, kind in retired.items() if name not in present]
-    return _with_kinds(document, [*present.values(), *added])
+    max_batches, separate_routes = (
+        extra.per_name("batchByKind", names, 1),
+        extra.per_name("separateRoutes", names, False),
+    )
+    existing = dict(zip(names, map(DestinationKind, names, max_batches, separate_routes), strict=True))
+    for name in retired.keys() & existing.keys():
+        check_kind_compatible(existing[name], retired[name])
+    added = [kind for name, kind in retired.items() if name not in existing]
+    return _with_kinds(document, [*existing.values(), *added])
 
 
-# ---- what a name stands for ----
+# ---- compatibility of definitions under one name ----
 
 
-def check_same_terms(new: MessageClass, old: MessageClass) -> None:
-    """Refuse another effect, handling of repeats or order under the name of a class that there was.
+def check_class_compatible(new: MessageClass, old: MessageClass) -> None:
+    """Refuse a change of a class's effect, deduplication or ordering under its name.
 
-    A message that is owed under the old terms may have run: tried under the new ones it could run twice.
+    A pending message may have run under the old definition; a retry under the new one could run it twice.
     """
     for key, before, after in (
         ("repeat", old.effect, new.effect),
@@ -290,13 +305,13 @@
     ):
         if before != after:
             raise SettingsError(
-                f"{LANES}/{new.name}.{key}: cannot change under one name; give the class another"
+                f"{LANES}/{new.name}.{key}: cannot change for an existing class; use a new class name"
             )
 
 
-def check_same_routes(new: DestinationKind, old: DestinationKind) -> None:
-    """Refuse a change of whether routes are apart: the breakers' state is kept by it."""
+def check_kind_compatible(new: DestinationKind, old: DestinationKind) -> None:
+    """Refuse a change of a kind's `separate_routes` under its name: the breakers' state depends on it."""
     if new.separate_routes != old.separate_routes:
         raise SettingsError(
-            f"{KINDS}/{new.name}.separateRoutes: cannot change under one name; give the kind another"
+            f"{KINDS}/{new.name}.separateRoutes: cannot change for an existing kind; use a new kind name"
         )
--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -9,12 +9,12 @@
 from gevent import socket
 
 from irisstack.dynamic_settings import etcd
-from irisstack.dynamic_settings.budget import PIECE_BYTES, ByteBudget
+from irisstack.dynamic_settings.budget import READ_CHUNK_BYTES, ByteBudget
 from irisstack.dynamic_settings.decisions import (
     ANSWER_TIMEOUT_S,
     CONNECT_TIMEOUT_S,
-    MAX_ANSWER_BYTES,
     MAX_FRAME_BYTES,
+    MAX_RESPONSE_BYTES,
 )
 from irisstack.dynamic_settings.events import FailureKind
 from irisstack.node import http, sockets
@@ -51,7 +51,7 @@
         self._connection = connection
 
     def recv_into(self, buffer: memoryview, /) -> int:
-        with buffer[:PIECE_BYTES] as piece:
+        with buffer[:READ_CHUNK_BYTES] as piece:
             return self._connection.recv_into(piece)
 
 
@@ -73,19 +73,19 @@
         if self._connection is not None:
             self._connection.close()
 
-    def request_range(self, request: etcd.RangeRequest) -> etcd.RangeAnswer:
+    def request_range(self, request: etcd.RangeRequest) -> etcd.RangeResponse:
         """Send a range request; raises `CallError`."""
         with _as_call_errors():
             answer = self._request(etcd.RANGE_PATH, request.body())
-            return etcd.read_range_answer(answer.status, bytes(answer.body))
+            return etcd.parse_range_response(answer.status, bytes(answer.body))
 
-    def request_txn(self, request: etcd.TxnRequest) -> etcd.TxnAnswer:
+    def request_txn(self, request: etcd.TxnRequest) -> etcd.TxnResponse:
         """Send a transaction; raises `CallError`, after which it may still have been committed."""
         with _as_call_errors():
             answer = self._request(etcd.TXN_PATH, request.body())
-            return etcd.read_txn_answer(answer.status, bytes(answer.body))
+            return etcd.parse_txn_response(answer.status, bytes(answer.body))
 
-    def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
+    def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchResponse | None, int]]":
         """Yield each frame of the watch with 0, and `None` with the size so far of an incomplete frame.
 
         Ends only with `CallError`.
@@ -95,15 +95,15 @@
 
     def _request(self, path: str, body: bytes) -> http.Message:
         self._send(path, body)
-        return self._read_answer(http.ResponseReader(MAX_ANSWER_BYTES + PARSER_SLACK_BYTES), 0)
+        return self._read_answer(http.ResponseReader(MAX_RESPONSE_BYTES + PARSER_SLACK_BYTES), 0)
 
     def _read_answer(self, reader: http.ResponseReader, received: int) -> http.Message:
         """Read the whole answer, of which `received` bytes were already read."""
         while (answer := reader.advance(self._buffer)) is None:
             count = self._receive()
             received += count
-            if received > MAX_ANSWER_BYTES:
-                raise CallError(FailureKind.TOO_LARGE, f"the answer exceeds {MAX_ANSWER_BYTES} bytes")
+            if received > MAX_RESPONSE_BYTES:
+                raise CallError(FailureKind.TOO_LARGE, f"the answer exceeds {MAX_RESPONSE_BYTES} bytes")
             if not count:
                 answer = reader.finish_at_eof()
                 if answer is None:
@@ -111,7 +111,7 @@
                 break
         return answer
 
-    def _watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchAnswer | None, int]]":
+    def _watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchResponse | None, int]]":
         self._send(etcd.WATCH_PATH, request.body())
         reader = http.ResponseReader(MAX_FRAME_BYTES + PARSER_SLACK_BYTES)
         frames = JsonObjectStream(MAX_FRAME_BYTES + PARSER_SLACK_BYTES)
@@ -129,7 +129,7 @@
             for frame in frames.feed(body):
                 frame_bytes = 0
                 self._time_left_s = None  # a watch is mostly silent; the follower's check detects a lost one
-                yield etcd.read_watch_answer(frame), 0
+                yield etcd.parse_watch_response(frame), 0
             if frame_bytes > MAX_FRAME_BYTES:
                 raise CallError(
                     FailureKind.TOO_LARGE, f"a frame of the watch exceeds {MAX_FRAME_BYTES} bytes"
@@ -189,7 +189,7 @@
 
 
 def _refusal_error(answer: http.Message) -> CallError:
-    error = etcd.read_watch_refusal(answer.status, bytes(answer.body))
+    error = etcd.parse_watch_error(answer.status, bytes(answer.body))
     return CallError(FAILURE_KINDS[error.kind], str(error))
 
 
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -20,7 +20,7 @@
 
 from irisstack.dynamic_settings import decisions
 from irisstack.dynamic_settings.members import Members
-from irisstack.dynamic_settings.snapshot import SavedSettings, SnapshotFile
+from irisstack.dynamic_settings.snapshot import SavedSettings, SavedSettingsFile
 from irisstack.lab.standins.etcd_cluster import Reach
 from irisstack.lab.standins.etcd_server import EtcdServer
 from irisstack.node import member_call, settings_watch
@@ -76,7 +76,7 @@
         members,
         PREFIX,
         bytes_per_s,
-        SnapshotFile(folder),
+        SavedSettingsFile(folder),
         check,
         lambda revision, accepted: in_force.append((revision, accepted.items)),
         counters,
@@ -110,8 +110,8 @@
     monkeypatch.setattr(member_call, "ANSWER_TIMEOUT_S", 0.3)
     monkeypatch.setattr(decisions, "RETRY_BASE_S", 0.1)
     monkeypatch.setattr(decisions, "RETRY_CAP_S", 0.2)
-    monkeypatch.setattr(decisions, "CHECK_MIN_S", 0.1)
-    monkeypatch.setattr(decisions, "CHECK_MAX_S", 0.2)
+    monkeypatch.setattr(decisions, "CHECK_INTERVAL_MIN_S", 0.1)
+    monkeypatch.setattr(decisions, "CHECK_INTERVAL_MAX_S", 0.2)
     monkeypatch.setattr(decisions, "LAG_GRACE_S", 0.3)
 
 
@@ -126,7 +126,7 @@
             revision = put(server, a=2, b=3)
             running.wait_for(a=2, b=3)
             wait_until(lambda: running.counters.snapshot()["settings_revision"] == revision)
-    saved = SnapshotFile(tmp_path).load()
+    saved = SavedSettingsFile(tmp_path).load()
     expected = {"a": 2, "b": 3}
     retired = {"lanes/gone": {"name": "gone"}}
     assert saved == SavedSettings(server.cluster.cluster_id, revision, expected, retired)
@@ -377,7 +377,9 @@
         put(server, a=1)
         with running_watch(members_of(server), tmp_path) as running:
             running.wait_for(a=1)
-            monkeypatch.setattr(decisions.Follower, "step", fail_first_step(decisions.Follower.step))
+            monkeypatch.setattr(
+                decisions.SettingsFollower, "step", fail_first_step(decisions.SettingsFollower.step)
+            )
             put(server, a=2)
             running.wait_for(a=2)
             assert running.counters.snapshot()["settings_revision"] == running.in_force[-1][0]
