--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -76,14 +76,14 @@
     def request_range(self, request: etcd.RangeRequest) -> etcd.RangeResponse:
         """Send a range request; raises `CallError`."""
         with _as_call_errors():
-            answer = self._request(etcd.RANGE_PATH, request.body())
-            return etcd.parse_range_response(answer.status, bytes(answer.body))
+            response = self._request(etcd.RANGE_PATH, request.body())
+            return etcd.parse_range_response(response.status, bytes(response.body))
 
     def request_txn(self, request: etcd.TxnRequest) -> etcd.TxnResponse:
         """Send a transaction; raises `CallError`, after which it may still have been committed."""
         with _as_call_errors():
-            answer = self._request(etcd.TXN_PATH, request.body())
-            return etcd.parse_txn_response(answer.status, bytes(answer.body))
+            response = self._request(etcd.TXN_PATH, request.body())
+            return etcd.parse_txn_response(response.status, bytes(response.body))
 
     def watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchResponse | None, int]]":
         """Yield each frame of the watch with 0, and `None` with the size so far of an incomplete frame.
@@ -95,21 +95,21 @@
 
     def _request(self, path: str, body: bytes) -> http.Message:
         self._send(path, body)
-        return self._read_answer(http.ResponseReader(MAX_RESPONSE_BYTES + PARSER_SLACK_BYTES), 0)
+        return self._read_response(http.ResponseReader(MAX_RESPONSE_BYTES + PARSER_SLACK_BYTES), 0)
 
-    def _read_answer(self, reader: http.ResponseReader, received: int) -> http.Message:
+    def _read_response(self, reader: http.ResponseReader, received: int) -> http.Message:
         """Read the whole answer, of which `received` bytes were already read."""
-        while (answer := reader.advance(self._buffer)) is None:
+        while (response := reader.advance(self._buffer)) is None:
             count = self._receive()
             received += count
             if received > MAX_RESPONSE_BYTES:
                 raise CallError(FailureKind.TOO_LARGE, f"the answer exceeds {MAX_RESPONSE_BYTES} bytes")
             if not count:
-                answer = reader.finish_at_eof()
-                if answer is None:
+                response = reader.finish_at_eof()
+                if response is None:
                     raise CallError(FailureKind.ENDED, "the connection ended before the answer was complete")
                 break
-        return answer
+        return response
 
     def _watch(self, request: etcd.WatchRequest) -> "Iterator[tuple[etcd.WatchResponse | None, int]]":
         self._send(etcd.WATCH_PATH, request.body())
@@ -118,14 +118,14 @@
         frame_bytes = 0
         while count := self._receive():
             frame_bytes += count
-            whole_answer = reader.advance(self._buffer)
-            status = (whole_answer or reader.message).status
+            complete_response = reader.advance(self._buffer)
+            status = (complete_response or reader.message).status
             if reader.headers_complete and status != HTTPStatus.OK:
-                answer = self._read_answer(reader, frame_bytes)
-                raise _refusal_error(answer)
-            if whole_answer is not None and status != HTTPStatus.OK:
-                raise _refusal_error(whole_answer)
-            body = bytes(whole_answer.body) if whole_answer is not None else reader.take_body()
+                response = self._read_response(reader, frame_bytes)
+                raise _refusal_error(response)
+            if complete_response is not None and status != HTTPStatus.OK:
+                raise _refusal_error(complete_response)
+            body = bytes(complete_response.body) if complete_response is not None else reader.take_body()
             for frame in frames.feed(body):
                 frame_bytes = 0
                 self._time_left_s = None  # a watch is mostly silent; the follower's check detects a lost one
@@ -134,7 +134,7 @@
                 raise CallError(
                     FailureKind.TOO_LARGE, f"a frame of the watch exceeds {MAX_FRAME_BYTES} bytes"
                 )
-            if whole_answer is not None:
+            if complete_response is not None:
                 break
             if frame_bytes:
                 yield None, frame_bytes
@@ -188,8 +188,8 @@
         return self._buffer.receive(_PieceReader(connection))
 
 
-def _refusal_error(answer: http.Message) -> CallError:
-    error = etcd.parse_watch_error(answer.status, bytes(answer.body))
+def _refusal_error(response: http.Message) -> CallError:
+    error = etcd.parse_watch_error(response.status, bytes(response.body))
     return CallError(FAILURE_KINDS[error.kind], str(error))
 
 
--- a/irisstack/node/settings_publisher.py
+++ b/irisstack/node/settings_publisher.py
@@ -24,7 +24,7 @@
 """Changes per publication: an etcd transaction holds 128 conditions, one of which guards the whole range."""
 UNLIMITED_BYTES_PER_S = 1e12
 
-AnswerType = TypeVar("AnswerType")
+ResponseType = TypeVar("ResponseType")
 
 
 class PublishError(Exception):
@@ -57,13 +57,13 @@
         mod_revisions: dict[bytes, int] = {}
         complete = False
         while not complete:
-            answer = self._request_from_any(pages)
+            response = self._request_from_any(pages)
             try:
-                complete = pages.add_page(answer)
+                complete = pages.add_page(response)
             except (etcd.GatewayError, DocumentTooLargeError) as error:
                 raise PublishError(str(error)) from None
-            values.update({item.key: item.value for item in answer.items})
-            mod_revisions.update({item.key: item.mod_revision for item in answer.items})
+            values.update({item.key: item.value for item in response.items})
+            mod_revisions.update({item.key: item.mod_revision for item in response.items})
         return PublishedDocument(pages.revision, values, mod_revisions, pages.items)
 
     def publish(self, published: PublishedDocument, items: Mapping[str, Any]) -> int | None:
@@ -76,12 +76,12 @@
             return None
         if len(request.puts) + len(request.deletes) > MAX_CHANGES:
             raise PublishError(f"one revision can hold at most {MAX_CHANGES} changes")
-        answer = self._write(request)
-        if not answer.succeeded:
+        response = self._write(request)
+        if not response.succeeded:
             raise PublishError(
                 f"the document has changed since revision {published.revision}; nothing was written"
             )
-        return answer.header.revision
+        return response.header.revision
 
     def _request(self, published: PublishedDocument, items: Mapping[str, Any]) -> etcd.TxnRequest:
         desired = {self._prefix + path.encode(): _encode(value) for path, value in items.items()}
@@ -150,7 +150,7 @@
     live.check(proposed.values())
 
 
-def _make_call(member: HostPort, make_request: Callable[[MemberCall], AnswerType]) -> AnswerType:
+def _make_call(member: HostPort, make_request: Callable[[MemberCall], ResponseType]) -> ResponseType:
     """Make one call without a rate limit."""
     call = MemberCall(member, ByteBudget(UNLIMITED_BYTES_PER_S, time.monotonic()))
     try:
--- a/irisstack/node/settings_watch.py
+++ b/irisstack/node/settings_watch.py
@@ -71,7 +71,7 @@
         members: Sequence[HostPort],
         prefix: str,
         bytes_per_s: float,
-        snapshot_file: SavedSettingsFile,
+        saved_settings_file: SavedSettingsFile,
         check: Callable[[Mapping[str, Any]], AcceptedType],
         apply: Callable[[int, AcceptedType], None],
         counters: Counters,
@@ -79,29 +79,29 @@
     ) -> None:
         self._members = {format_host_port(member): member for member in members}
         self._prefix = prefix.encode()
-        self._snapshot_file = snapshot_file
+        self._saved_settings_file = saved_settings_file
         self._check = check
         self._apply = apply
         self._counters = counters
         self._seed = seed
         self._budget = ByteBudget(bytes_per_s, time.monotonic())
-        self._held: ResumeState | None = None
+        self._resume_state: ResumeState | None = None
         self._counted_revision = 0
         self._calls: dict[int, gevent.Greenlet[..., None]] = {}
         self._mailbox: Queue[Event] = Queue(MAILBOX_SIZE)
 
     def run(self) -> None:
         """Follow the settings; an unexpected error is logged, and the actor restarts."""
-        saved = self._snapshot_file.load()
+        saved = self._saved_settings_file.load()
         if saved is not None:
-            self._held = ResumeState(saved.cluster_id, saved.revision, saved.items)
+            self._resume_state = ResumeState(saved.cluster_id, saved.revision, saved.items)
         while True:
             try:
                 self._follow()
             except Exception as error:  # any error: the node goes on with the settings in force
                 log.error("settings_watch_failed", error=repr(error))
-            for call in self._calls.values():
-                call.kill(block=False)
+            for greenlet in self._calls.values():
+                greenlet.kill(block=False)
             self._calls.clear()
             gevent.sleep(RESTART_PAUSE_S)
 
@@ -109,7 +109,7 @@
         self._mailbox = Queue(MAILBOX_SIZE)
         now = time.monotonic()
         follower = SettingsFollower(
-            list(self._members), self._prefix, self._budget, self._seed, self._held, now
+            list(self._members), self._prefix, self._budget, self._seed, self._resume_state, now
         )
         events: list[Event] = []
         while True:
@@ -139,12 +139,12 @@
 
     def _execute(self, action: Action) -> None:
         match action:
-            case SendRangeRequest(call, member, request):
-                self._calls[call] = gevent.spawn(self._run_range, call, self._members[member], request)
-            case OpenWatch(call, member, request):
-                self._calls[call] = gevent.spawn(self._run_watch, call, self._members[member], request)
-            case CancelCall(call):
-                if (greenlet := self._calls.pop(call, None)) is not None:
+            case SendRangeRequest(call_id, member, request):
+                self._calls[call_id] = gevent.spawn(self._run_range, call_id, self._members[member], request)
+            case OpenWatch(call_id, member, request):
+                self._calls[call_id] = gevent.spawn(self._run_watch, call_id, self._members[member], request)
+            case CancelCall(call_id):
+                if (greenlet := self._calls.pop(call_id, None)) is not None:
                     greenlet.kill(block=False)
             case Log(level, event, fields):
                 getattr(log, level.value)(event, **fields)
@@ -165,43 +165,43 @@
             return DocumentRefused(proposal.revision, str(error))
         except Exception as error:  # any error: a document must not end the node
             return DocumentRefused(proposal.revision, f"the document: {error!r}")
-        self._held = ResumeState(proposal.cluster_id, proposal.revision, proposal.items)
+        self._resume_state = ResumeState(proposal.cluster_id, proposal.revision, proposal.items)
         self._counters.add("settings_revision", proposal.revision - self._counted_revision)
         self._counted_revision = proposal.revision
         return DocumentAccepted(proposal.revision)
 
     def _save(self, proposal: ProposeDocument, accepted: AcceptedType) -> None:
         settings = SavedSettings(proposal.cluster_id, proposal.revision, proposal.items, accepted.retired)
-        if self._snapshot_file.load() != settings:
-            self._snapshot_file.save(settings)
+        if self._saved_settings_file.load() != settings:
+            self._saved_settings_file.save(settings)
 
     # ---- calls, each in its own greenlet ----
 
-    def _run_range(self, number: int, address: HostPort, request: etcd.RangeRequest) -> None:
+    def _run_range(self, call_id: int, address: HostPort, request: etcd.RangeRequest) -> None:
         call = MemberCall(address, self._budget)
         try:
-            self._mailbox.put(RangeResponseReceived(number, call.request_range(request)))
+            self._mailbox.put(RangeResponseReceived(call_id, call.request_range(request)))
         except Exception as error:  # any error must reach the follower, or it would wait forever
-            self._mailbox.put(_failure(number, error))
+            self._mailbox.put(_failure(call_id, error))
         finally:
             call.close()
-            self._calls.pop(number, None)
+            self._calls.pop(call_id, None)
 
-    def _run_watch(self, number: int, address: HostPort, request: etcd.WatchRequest) -> None:
+    def _run_watch(self, call_id: int, address: HostPort, request: etcd.WatchRequest) -> None:
         call = MemberCall(address, self._budget)
         try:
-            for answer, frame_bytes in call.watch(request):
-                self._mailbox.put(FrameProgress(number, frame_bytes))
-                if answer is not None:
-                    self._mailbox.put(WatchResponseReceived(number, answer))
+            for response, frame_bytes in call.watch(request):
+                self._mailbox.put(FrameProgress(call_id, frame_bytes))
+                if response is not None:
+                    self._mailbox.put(WatchResponseReceived(call_id, response))
         except Exception as error:  # as above
-            self._mailbox.put(_failure(number, error))
+            self._mailbox.put(_failure(call_id, error))
         finally:
             call.close()
-            self._calls.pop(number, None)
+            self._calls.pop(call_id, None)
 
 
-def _failure(number: int, error: Exception) -> CallFailed:
+def _failure(call_id: int, error: Exception) -> CallFailed:
     if isinstance(error, CallError):
-        return CallFailed(number, error.kind, str(error))
-    return CallFailed(number, FailureKind.MALFORMED, repr(error))
+        return CallFailed(call_id, error.kind, str(error))
+    return CallFailed(call_id, FailureKind.MALFORMED, repr(error))
