--- a/irisstack/node/member_call.py
+++ b/irisstack/node/member_call.py
@@ -44,15 +44,15 @@
         self.kind = kind
 
 
-class _PieceReader:
+class _ChunkReader:
     """Limits each read of a buffer from a socket to `READ_CHUNK_BYTES`."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
 
     def recv_into(self, buffer: memoryview, /) -> int:
-        with buffer[:READ_CHUNK_BYTES] as piece:
-            return self._connection.recv_into(piece)
+        with buffer[:READ_CHUNK_BYTES] as chunk:
+            return self._connection.recv_into(chunk)
 
 
 class MemberCall:
@@ -166,11 +166,11 @@
             gevent.sleep(pause)
         gevent.sleep(0)  # yields, so that a flood of bytes does not starve other greenlets
         assert self._connection is not None, "the request was sent"
-        count = self._receive_piece(self._connection)
+        count = self._receive_chunk(self._connection)
         self._budget.spend(time.monotonic(), count)
         return count
 
-    def _receive_piece(self, connection: socket.socket) -> int:
+    def _receive_chunk(self, connection: socket.socket) -> int:
         """Read once; raises `CallError` if the member's time is used up and there is nothing to read.
 
         Bytes that have arrived are read even so: after this process was stalled, time-outs fire first.
@@ -181,13 +181,13 @@
             started_at = time.monotonic()
             connection.settimeout(max(MIN_TIMEOUT_S, time_left_s))
             try:
-                return self._buffer.receive(_PieceReader(connection))
+                return self._buffer.receive(_ChunkReader(connection))
             except TimeoutError as error:
                 sockets.raise_if_connection_timed_out(error)
             finally:
                 self._time_left_s = time_left_s - (time.monotonic() - started_at)
         connection.settimeout(None)
-        return self._buffer.receive(_PieceReader(connection))
+        return self._buffer.receive(_ChunkReader(connection))
 
 
 def _refusal_error(response: http.Message) -> CallError:
