--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -105,5 +105,5 @@
     loaded = config.load({"RELAY_CONFIG": str(path)})
     assert (loaded.settings.max_pending, loaded.sockets, len(loaded.settings.classes)) == (9, 256, 2)
     path.write_text("= 3")
-    with pytest.raises(config.ConfigError, match="holds no TOML"):
+    with pytest.raises(config.ConfigError, match="is not valid TOML"):
         config.load({"RELAY_CONFIG": str(path)})
--- a/tests/node/settings_support.py
+++ b/tests/node/settings_support.py
@@ -1,4 +1,4 @@
-"""A node that follows its settings, beside the stand-in of a cluster that publishes them."""
+"""A node with dynamic settings, and a stand-in for the cluster that publishes them."""
 
 import contextlib
 import json
@@ -16,25 +16,25 @@
 from tests.node_support import SETTINGS, Node, ScriptedEndpoint, ScriptedPlatform, eventually
 
 PREFIX = "/irisstack/settings/"
-LOOK = 0.005
-"""Seconds between two looks of the cluster's thread at what a test wants."""
+POLL_INTERVAL_S = 0.005
+"""Seconds between checks of the cluster's thread for an operation of a test."""
 
 LANES: dict[str, dict[str, Any]] = {lane["name"]: lane for lane in SETTINGS["lanes"]}
-"""The classes of the node's file, by name."""
+"""The classes in the node's file, by name."""
 
 
 def lane_items(*names: str, **others: Mapping[str, Any]) -> dict[str, Any]:
-    """Items of these classes of the file, and of others."""
+    """The items that define the named classes of the file, and others as given."""
     return {f"lanes/{name}": lane for name, lane in [*((n, LANES[n]) for n in names), *others.items()]}
 
 
 class SettingsCluster:
-    """A cluster of one member on a hub of its own, in a thread of its own."""
+    """A cluster of one member that runs in its own thread with its own gevent hub."""
 
     def __init__(self) -> None:
-        self._wishes: SimpleQueue[tuple[Callable[[EtcdServer], Any], Future[Any]]] = SimpleQueue()
+        self._operations: SimpleQueue[tuple[Callable[[EtcdServer], Any], Future[Any]]] = SimpleQueue()
         self._addresses: Future[list[str]] = Future()
-        self._ended = False
+        self._stopping = False
         self._thread = threading.Thread(target=self._serve, daemon=True)
         self._thread.start()
         self.addresses = self._addresses.result()
@@ -42,41 +42,41 @@
     def _serve(self) -> None:
         with EtcdServer(1) as server:
             self._addresses.set_result(server.addresses)
-            while not self._ended:
+            while not self._stopping:
                 with contextlib.suppress(Empty):
-                    wish, done = self._wishes.get_nowait()
-                    done.set_result(wish(server))
-                gevent.sleep(LOOK)
+                    operation, future = self._operations.get_nowait()
+                    future.set_result(operation(server))
+                gevent.sleep(POLL_INTERVAL_S)
 
-    def _have(self, wish: Callable[[EtcdServer], Any]) -> Any:
-        done: Future[Any] = Future()
-        self._wishes.put((wish, done))
-        return done.result()
+    def _execute(self, operation: Callable[[EtcdServer], Any]) -> Any:
+        future: Future[Any] = Future()
+        self._operations.put((operation, future))
+        return future.result()
 
-    def publish(self, items: Mapping[str, Any], *gone: str) -> int:
-        """Set items and delete others in one revision, which is returned."""
+    def publish(self, items: Mapping[str, Any], *deleted_paths: str) -> int:
+        """Set items and delete others in one revision; returns that revision."""
         puts = [etcd.PutRequest(f"{PREFIX}{p}".encode(), json.dumps(v).encode()) for p, v in items.items()]
-        deletes = [etcd.DeleteRangeRequest(f"{PREFIX}{path}".encode()) for path in gone]
+        deletes = [etcd.DeleteRangeRequest(f"{PREFIX}{path}".encode()) for path in deleted_paths]
 
         def write(server: EtcdServer) -> int:
             server.cluster.members[0].execute(etcd.TxnRequest((), (*puts, *deletes), ()))
             return server.cluster.store.revision
 
-        return int(self._have(write))
+        return int(self._execute(write))
 
     def stop(self) -> None:
-        self._ended = True
+        self._stopping = True
         self._thread.join()
 
 
 def logged_events(node: Node, event: str) -> list[dict[str, Any]]:
-    """The node's lines of this event, of all of its lives."""
+    """The log lines with this event, of all processes of the node."""
     lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
 def wait_until_in_force(node: Node, revision: int) -> None:
-    """Wait until a revision, or a later one, is in force in this life of the node."""
+    """Wait until a revision, or a later one, is in force in the node's current process."""
 
     def reached() -> bool:
         lines = [json.loads(line) for line in node.log.read_text().splitlines() if line.startswith("{")]
@@ -92,14 +92,14 @@
 
 @contextlib.contextmanager
 def dynamic_settings_node(
-    folder: Path, *endpoints: ScriptedEndpoint, start: bool = True, **raw: Any
+    folder: Path, *endpoints: ScriptedEndpoint, start: bool = True, **config_data: Any
 ) -> Iterator[tuple[Node, ScriptedPlatform, SettingsCluster]]:
-    """A node that follows a cluster, which has published nothing yet; the endpoints are of destination 1."""
+    """A node that follows a cluster without published settings; the endpoints belong to destination 1."""
     platform, cluster = ScriptedPlatform(), SettingsCluster()
     for number, peer in enumerate(endpoints, start=1):
         platform.add_member(peer, number, cell=1)
     node = Node(folder, platform)
-    node.config_data.update(dynamic_settings={"members": cluster.addresses, "prefix": PREFIX}, **raw)
+    node.config_data.update(dynamic_settings={"members": cluster.addresses, "prefix": PREFIX}, **config_data)
     try:
         yield node.start() if start else node, platform, cluster
     finally:
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -158,7 +158,7 @@
         check=False,
     )
     assert completed.returncode != 0
-    assert completed.stderr == "irisstack: seed: a hexadecimal number is due, not '?'\n"
+    assert completed.stderr == "irisstack: seed: expected a hexadecimal number, got '?'\n"
 
 
 @pytest.mark.parametrize("environment", [{}, {"RELAY_CONFIG": "/nowhere"}])
