--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -104,11 +104,11 @@
             say(
                 usage=asdict(usage()),
                 changes=writer.changes,
-                connects=[each.connects.total for each in traffic],
-                connects_peak=max(each.connects.peak for each in traffic),
+                connects=[each.connections.total for each in traffic],
+                connects_peak=max(each.connections.peak for each in traffic),
                 requests=[each.requests.total for each in traffic],
                 bytes_out=[each.bytes_out.total for each in traffic],
-                watches=[member.watches for member in server.members],
+                watches=[member.watch_count for member in server.members],
             )
         writing.kill()
 
--- a/irisstack/lab/scale/settings_fleet.py
+++ b/irisstack/lab/scale/settings_fleet.py
@@ -16,7 +16,7 @@
 from irisstack.lab.scale.settings_member import VirtualMember
 from irisstack.lab.scale.settings_network import ZONES, ZONES_PER_REGION, Place, StreamNetwork
 from irisstack.lab.scale.settings_node import PREFIX, NodeRecord, SettingsNode
-from irisstack.lab.standins.etcd_cluster import Cluster, Reach
+from irisstack.lab.standins.etcd_cluster import Availability, Cluster
 from irisstack.lab.virtual.clock import Clock
 
 MEMBERS = 7
@@ -181,15 +181,15 @@
     # ---- members ----
 
     def member_process_ends(self, now: float, number: int) -> None:
-        self.cluster.set_reach(number, Reach.DOWN)
+        self.cluster.set_availability(number, Availability.DOWN)
 
     def member_machine_lost(self, now: float, number: int) -> None:
         self.members[number].lose_power()
-        self.cluster.set_reach(number, Reach.SILENT)
+        self.cluster.set_availability(number, Availability.UNRESPONSIVE)
 
     def member_back(self, now: float, number: int) -> None:
         self.members[number].regain_power()
-        self.cluster.set_reach(number, Reach.UP)
+        self.cluster.set_availability(number, Availability.UP)
 
     def separate_regions(self, now: float) -> None:
         """The regions lose each other; the members of the first one are the quorum."""
--- a/irisstack/lab/scale/settings_member.py
+++ b/irisstack/lab/scale/settings_member.py
@@ -8,7 +8,7 @@
 
 from irisstack.lab.scale.settings_network import Place, StreamNetwork
 from irisstack.lab.standins import etcd, etcd_http, etcd_json
-from irisstack.lab.standins.etcd_cluster import Member, Reach
+from irisstack.lab.standins.etcd_cluster import Availability, Member
 from irisstack.lab.standins.traffic import Traffic
 
 
@@ -63,22 +63,22 @@
         """A node wants a connection."""
         if not self._powered:
             return
-        if self.member.reach is Reach.DOWN:
+        if self.member.availability is Availability.DOWN:
             self._network.send(self.place, client.place, client.refused)
             return
-        self.traffic.connects.add(now)
+        self.traffic.connections.add(now)
         self._connections[client] = None
         self._network.send(self.place, client.place, client.connected)
 
     def request(self, now: float, client: Client, request: Request) -> None:
         """A whole request has come on a connection."""
-        if client not in self._connections or self.member.reach is Reach.SILENT:
+        if client not in self._connections or self.member.availability is Availability.UNRESPONSIVE:
             return
         self.traffic.requests.add(now)
         if request.path == etcd_json.WATCH_PATH:
             self._open_watch(now, client, request.body)
         else:
-            self._send(now, client, etcd_http.answer(self.member, "POST", request.path, request.body))
+            self._send(now, client, etcd_http.handle_request(self.member, "POST", request.path, request.body))
 
     def left(self, now: float, client: Client) -> None:
         """A node has closed its end."""
@@ -88,9 +88,9 @@
 
     def on_cluster_change(self, now: float) -> None:
         """Send new changes to the watches, or end all connections if the member is down."""
-        if self.member.reach is Reach.DOWN:
+        if self.member.availability is Availability.DOWN:
             self._end_all()
-        elif self._powered and self.member.reach is not Reach.SILENT:
+        elif self._powered and self.member.availability is not Availability.UNRESPONSIVE:
             for stream in list(self._connections.values()):
                 if stream is not None:
                     self._send_changes(now, stream)
@@ -119,14 +119,14 @@
         if not isinstance(wanted, etcd.WatchRequest):
             raise TypeError(f"a watch is opened with a create request, not {wanted}")
         watch, response = etcd.Watch.create(wanted, self.member.store)
-        created = etcd_http.chunk(self.member.encode_watch(response))
+        created = etcd_http.encode_chunk(self.member.encode_watch(response))
         stream = self._connections[client] = Stream(client, watch)
         self._send(now, client, etcd_http.STREAM_HEAD + created)
         self._send_changes(now, stream)
 
     def _send_changes(self, now: float, stream: Stream) -> None:
         while (response := stream.watch.read(self.member.store)) is not None:
-            self._send(now, stream.client, etcd_http.chunk(self.member.encode_watch(response)))
+            self._send(now, stream.client, etcd_http.encode_chunk(self.member.encode_watch(response)))
 
     def _send(self, now: float, client: Client, data: bytes) -> None:
         self.traffic.bytes_out.add(now, len(data))
--- a/irisstack/lab/scale/settings_plays.py
+++ b/irisstack/lab/scale/settings_plays.py
@@ -15,7 +15,7 @@
     SettingsFleet,
 )
 from irisstack.lab.scale.settings_node import SettingsNode
-from irisstack.lab.standins.traffic import Rate
+from irisstack.lab.standins.traffic import RateCounter
 
 ORDINARY_S = 1_200
 BURST_CHANGES = 20
@@ -187,7 +187,7 @@
 def _member_figures(fleet: SettingsFleet) -> MemberFigures:
     traffic = [member.traffic for member in fleet.members]
     return MemberFigures(
-        peak_connects=_peak(each.connects for each in traffic),
+        peak_connects=_peak(each.connections for each in traffic),
         peak_requests=_peak(each.requests for each in traffic),
         peak_bytes_out=_peak(each.bytes_out for each in traffic),
         mean_requests=max(each.requests.total for each in traffic) / fleet.seconds,
@@ -195,8 +195,8 @@
     )
 
 
-def _peak(rates: Iterable[Rate]) -> int:
-    return max(rate.peak_from(int(SETTLED_S)) for rate in rates)
+def _peak(rates: Iterable[RateCounter]) -> int:
+    return max(rate.peak_since(int(SETTLED_S)) for rate in rates)
 
 
 # ---- the plays ----
--- a/irisstack/lab/standins/etcd.py
+++ b/irisstack/lab/standins/etcd.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-ALL_KEYS = b"\0"
+UNBOUNDED_END = b"\0"
 """As a range's end: every key from the range's start on."""
 FIRST_REVISION = 1
 """The revision of a store that was never written to."""
@@ -117,7 +117,7 @@
 
     type: EventType
     kv: KeyValue
-    previous: KeyValue | None
+    prev_kv: KeyValue | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -147,14 +147,14 @@
 class PutRequest:
     key: bytes
     value: bytes
-    previous: bool = False
+    prev_kv: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class DeleteRangeRequest:
     key: bytes
     range_end: bytes = b""
-    previous: bool = False
+    prev_kv: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -190,7 +190,7 @@
     range_end: bytes = b""
     start_revision: int = 0
     progress_notify: bool = False
-    previous: bool = False
+    prev_kv: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -202,13 +202,13 @@
 
 @dataclass(slots=True, frozen=True)
 class PutResponse:
-    previous: KeyValue | None
+    prev_kv: KeyValue | None
 
 
 @dataclass(slots=True, frozen=True)
 class DeleteRangeResponse:
     deleted: int
-    previous: tuple[KeyValue, ...]
+    prev_kvs: tuple[KeyValue, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -232,7 +232,7 @@
     """Whether a key lies in a range as etcd writes it."""
     if not end:
         return key == start
-    return key >= start and (end == ALL_KEYS or key < end)
+    return key >= start and (end == UNBOUNDED_END or key < end)
 
 
 class Store:
@@ -325,24 +325,22 @@
         return RangeResponse(tuple(found), len(found) < count, count)
 
     def _put(self, request: PutRequest, revision: int, events: list[Event]) -> PutResponse:
-        previous = self._latest(request.key)
-        if previous is None:
+        prev_kv = self._latest(request.key)
+        if prev_kv is None:
             kv = KeyValue(request.key, request.value, revision, revision, 1)
         else:
-            kv = KeyValue(
-                request.key, request.value, previous.create_revision, revision, previous.version + 1
-            )
+            kv = KeyValue(request.key, request.value, prev_kv.create_revision, revision, prev_kv.version + 1)
         self._write(kv)
-        events.append(Event(EventType.PUT, kv, previous))
-        return PutResponse(previous if request.previous else None)
+        events.append(Event(EventType.PUT, kv, prev_kv))
+        return PutResponse(prev_kv if request.prev_kv else None)
 
     def _delete(self, request: DeleteRangeRequest, revision: int, events: list[Event]) -> DeleteRangeResponse:
         found = tuple(self._read(request.key, request.range_end, 0))
-        for previous in found:
-            tombstone = KeyValue(previous.key, b"", 0, revision, 0)
+        for prev_kv in found:
+            tombstone = KeyValue(prev_kv.key, b"", 0, revision, 0)
             self._write(tombstone)
-            events.append(Event(EventType.DELETE, tombstone, previous))
-        return DeleteRangeResponse(len(found), found if request.previous else ())
+            events.append(Event(EventType.DELETE, tombstone, prev_kv))
+        return DeleteRangeResponse(len(found), found if request.prev_kv else ())
 
     def _holds(self, compare: Compare) -> bool:
         if compare.range_end:
@@ -398,7 +396,7 @@
         if not end:
             return [start] if start in self._versions else []
         first = bisect_left(self._keys, start)
-        last = len(self._keys) if end == ALL_KEYS else bisect_left(self._keys, end)
+        last = len(self._keys) if end == UNBOUNDED_END else bisect_left(self._keys, end)
         return self._keys[first:last]
 
 
--- a/irisstack/lab/standins/etcd_cluster.py
+++ b/irisstack/lab/standins/etcd_cluster.py
@@ -14,13 +14,13 @@
 MEMBER_ID_STEP = 0x0101_0101_0101_0101
 
 
-class Reach(Enum):
+class Availability(Enum):
     """What a client that connects to a member meets."""
 
     UP = auto()
     DOWN = auto()
     """Connections are refused, those that there were are reset."""
-    SILENT = auto()
+    UNRESPONSIVE = auto()
     """Connections are taken, and nothing is ever answered: the process hangs."""
     TRICKLING = auto()
     """All is answered, a few bytes at a time."""
@@ -32,8 +32,8 @@
 
     number: int
     cluster: "Cluster"
-    reach: Reach = Reach.UP
-    watches_silent: bool = False
+    availability: Availability = Availability.UP
+    watches_stalled: bool = False
     """Watches are taken and never say anything."""
     cluster_id: int | None = None
     """The id that the headers report in place of the cluster's."""
@@ -72,10 +72,10 @@
         before = self.store.revision
         response = self.store.execute(request)
         if self.store.revision != before or isinstance(request, etcd.CompactionRequest):
-            self.cluster.notify()
+            self.cluster.notify_listeners()
         return response
 
-    def answer(self, path: str, body: bytes) -> tuple[int, bytes]:
+    def handle_request(self, path: str, body: bytes) -> tuple[int, bytes]:
         """Status and body of the answer to a request that is no watch."""
         known = self._known_reads()
         if path == etcd_json.RANGE_PATH and body in known:
@@ -100,11 +100,11 @@
             self._read.clear()
         return self._read
 
-    def encode_watch(self, response: etcd.WatchResponse, *, previous: bool = False) -> bytes:
+    def encode_watch(self, response: etcd.WatchResponse, *, prev_kv: bool = False) -> bytes:
         """One object of a watch's stream; cached, since many watches send the same."""
-        key = response, previous, self.header(response.revision)
+        key = response, prev_kv, self.header(response.revision)
         if self._encoded is None or self._encoded[0] != key:
-            self._encoded = key, etcd_json.encode_watch(key[2], response, previous=previous)
+            self._encoded = key, etcd_json.encode_watch(key[2], response, prev_kv=prev_kv)
         return self._encoded[1]
 
     def lose_quorum(self) -> None:
@@ -129,7 +129,7 @@
         """Called after every change of the store or of what members can reach."""
         self._groups: tuple[frozenset[int], ...] = (frozenset(range(size)),)
 
-    def notify(self) -> None:
+    def notify_listeners(self) -> None:
         """Call all listeners."""
         for listener in self.listeners:
             listener()
@@ -162,9 +162,9 @@
 
     # ---- faults ----
 
-    def set_reach(self, number: int, reach: Reach) -> None:
+    def set_availability(self, number: int, availability: Availability) -> None:
         """Change what clients of a member meet; a member that is down or hangs counts to no quorum."""
-        self.members[number].reach = reach
+        self.members[number].availability = availability
         self._elect()
 
     def partition(self, *groups: Collection[int]) -> None:
@@ -194,11 +194,13 @@
         """Find out which members have a quorum; a copy that is no longer needed is dropped."""
         needed = len(self.members) // 2 + 1
         for group in self._groups:
-            working = [n for n in group if self.members[n].reach in (Reach.UP, Reach.TRICKLING)]
+            working = [
+                n for n in group if self.members[n].availability in (Availability.UP, Availability.TRICKLING)
+            ]
             for number in group:
                 if len(working) >= needed:
                     self.members[number].regain_quorum()
                 else:
                     self.members[number].lose_quorum()
         self.term += 1
-        self.notify()
+        self.notify_listeners()
--- a/irisstack/lab/standins/etcd_http.py
+++ b/irisstack/lab/standins/etcd_http.py
@@ -10,20 +10,20 @@
 METHOD_NOT_ALLOWED = 405
 
 
-def answer(member: Member, method: str, path: str, body: bytes) -> bytes:
+def handle_request(member: Member, method: str, path: str, body: bytes) -> bytes:
     """The whole answer to a request that is no watch."""
     if method != "POST":
         return http.reply(METHOD_NOT_ALLOWED)
-    status, answered = member.answer(path, body)
+    status, answered = member.handle_request(path, body)
     return http.reply(status, JSON_HEADERS, answered)
 
 
-def refusal(error: etcd.EtcdError) -> bytes:
+def error_response(error: etcd.EtcdError) -> bytes:
     """The whole answer to a request that is refused before a stream begins."""
     status, body = etcd_json.encode_error(error)
     return http.reply(status, JSON_HEADERS, body)
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """One piece of a stream's body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/irisstack/lab/standins/etcd_json.py
+++ b/irisstack/lab/standins/etcd_json.py
@@ -269,9 +269,9 @@
     return _body({"header": _header(header), **_response(response)})
 
 
-def encode_watch(header: Header, response: etcd.WatchResponse, *, previous: bool = False) -> bytes:
+def encode_watch(header: Header, response: etcd.WatchResponse, *, prev_kv: bool = False) -> bytes:
     """One object of a watch's stream, with the line feed that follows it."""
-    events = [_event(event, previous=previous) for event in response.events]
+    events = [_event(event, prev_kv=prev_kv) for event in response.events]
     result = {
         "header": _header(header),
         "created": response.created,
@@ -304,8 +304,8 @@
     match response:
         case etcd.RangeResponse(kvs, more, count):
             raw: Json = {"kvs": [_key_value(kv) for kv in kvs], "more": more, "count": _number(count)}
-        case etcd.PutResponse(previous):
-            raw = {"prev_kv": previous and _key_value(previous)}
+        case etcd.PutResponse(prev_kv):
+            raw = {"prev_kv": prev_kv and _key_value(prev_kv)}
         case etcd.DeleteRangeResponse(deleted, found):
             raw = {"deleted": _number(deleted), "prev_kvs": [_key_value(kv) for kv in found]}
         case etcd.TxnResponse(succeeded, responses):
@@ -338,11 +338,11 @@
     return _without_defaults(raw)
 
 
-def _event(event: etcd.Event, *, previous: bool) -> Json:
+def _event(event: etcd.Event, *, prev_kv: bool) -> Json:
     raw = {
         "type": event.type.name if event.type is not etcd.EventType.PUT else "",
         "kv": _key_value(event.kv),
-        "prev_kv": _key_value(event.previous) if previous and event.previous is not None else None,
+        "prev_kv": _key_value(event.prev_kv) if prev_kv and event.prev_kv is not None else None,
     }
     return _without_defaults(raw)
 
--- a/irisstack/lab/standins/etcd_server.py
+++ b/irisstack/lab/standins/etcd_server.py
@@ -16,17 +16,17 @@
 
 from irisstack.lab.sockets import http
 from irisstack.lab.standins import etcd, etcd_http, etcd_json
-from irisstack.lab.standins.etcd_cluster import Cluster, Member, Reach
+from irisstack.lab.standins.etcd_cluster import Availability, Cluster, Member
 from irisstack.lab.standins.traffic import Traffic
 
 HOST = "127.0.0.1"
 BACKLOG = 1024
-PROGRESS_INTERVAL = 600.0
+PROGRESS_INTERVAL_S = 600.0
 """Seconds of silence until a progress notification, where one was asked for; etcd's default."""
 TRICKLE_BYTES = 16
-TRICKLE_INTERVAL = 0.1
+TRICKLE_INTERVAL_S = 0.1
 """A member that trickles sends so many bytes at a time, so many seconds apart."""
-HAS_LEADER = "grpc-metadata-hasleader"
+REQUIRE_LEADER_HEADER = "grpc-metadata-hasleader"
 """The header by which a client asks to be refused when the member has no leader."""
 
 
@@ -67,7 +67,7 @@
             self.reset()
 
     @property
-    def watches(self) -> bool:
+    def has_watch(self) -> bool:
         """Whether a watch is held on this connection."""
         return self._stream is not None and not self._stream.dead
 
@@ -78,43 +78,43 @@
         if request.target == etcd_json.WATCH_PATH:
             self._stream = gevent.spawn(self._watch, request)
             return True
-        server.wait_while_silent()
-        self._send(etcd_http.answer(server.member, request.method, request.target, request.body))
+        server.wait_while_unresponsive()
+        self._send(etcd_http.handle_request(server.member, request.method, request.target, request.body))
         return request.headers.get("connection", "").lower() != "close"
 
     def _watch(self, request: http.Request) -> None:
         """Hold one watch until the connection ends."""
         server = self._server
-        server.wait_while_silent()
+        server.wait_while_unresponsive()
         try:
             wanted = etcd_json.decode_watch(request.body)
         except etcd.EtcdError as error:
-            self._send_to_the_end(etcd_http.refusal(error))
+            self._send_to_the_end(etcd_http.error_response(error))
             return
         if not isinstance(wanted, etcd.WatchRequest):
             return  # cancels and progress refer to another stream, so nothing answers them
         with suppress(OSError):
-            self._follow(wanted, needs_leader=request.headers.get(HAS_LEADER) == "true")
+            self._follow(wanted, needs_leader=request.headers.get(REQUIRE_LEADER_HEADER) == "true")
 
     def _follow(self, wanted: etcd.WatchRequest, *, needs_leader: bool) -> None:
         server, member = self._server, self._server.member
         watch, response = etcd.Watch.create(wanted, member.store)
-        created = etcd_http.chunk(member.encode_watch(response))
+        created = etcd_http.encode_chunk(member.encode_watch(response))
         self._send(etcd_http.STREAM_HEAD + created)
         while True:
             changed = server.changed
-            server.wait_while_silent()
+            server.wait_while_unresponsive()
             if needs_leader and not member.has_quorum:
-                error = etcd_http.chunk(etcd_json.encode_stream_error(etcd.NoLeaderError()))
+                error = etcd_http.encode_chunk(etcd_json.encode_stream_error(etcd.NoLeaderError()))
                 self._send_to_the_end(error + etcd_http.STREAM_END)
                 return
-            message = None if member.watches_silent else watch.read(member.store)
+            message = None if member.watches_stalled else watch.read(member.store)
             if message is None:
-                if changed.wait(server.progress_interval) or member.watches_silent:
+                if changed.wait(server.progress_interval_s) or member.watches_stalled:
                     continue
                 message = watch.progress(member.store) if wanted.progress_notify else None
             if message is not None:
-                self._send(etcd_http.chunk(member.encode_watch(message, previous=wanted.previous)))
+                self._send(etcd_http.encode_chunk(member.encode_watch(message, prev_kv=wanted.prev_kv)))
 
     def _send_to_the_end(self, data: bytes) -> None:
         with suppress(OSError):
@@ -122,11 +122,11 @@
         self.reset()
 
     def _send(self, data: bytes) -> None:
-        """Write bytes, in pieces if `piece_size` is set or the member trickles."""
+        """Write bytes, in pieces if `max_write_bytes` is set or the member trickles."""
         server = self._server
-        size, pause = server.piece_size or len(data), 0.0
-        if server.member.reach is Reach.TRICKLING:
-            size, pause = TRICKLE_BYTES, TRICKLE_INTERVAL
+        size, pause = server.max_write_bytes or len(data), 0.0
+        if server.member.availability is Availability.TRICKLING:
+            size, pause = TRICKLE_BYTES, TRICKLE_INTERVAL_S
         for start in range(0, len(data), size):
             if start:
                 gevent.sleep(pause)
@@ -138,10 +138,10 @@
 class MemberServer:
     """One member's listener, on the same port whenever it is up."""
 
-    def __init__(self, member: Member, progress_interval: float) -> None:
+    def __init__(self, member: Member, progress_interval_s: float) -> None:
         self.member = member
-        self.progress_interval = progress_interval
-        self.piece_size: int | None = None
+        self.progress_interval_s = progress_interval_s
+        self.max_write_bytes: int | None = None
         """Bytes at most in one write: a frame or a head may be cut anywhere."""
         self.traffic = Traffic()
         self.changed = Event()
@@ -156,21 +156,21 @@
         return f"{self._bound[0]}:{self._bound[1]}"
 
     @property
-    def watches(self) -> int:
+    def watch_count(self) -> int:
         """How many watches are held now."""
-        return sum(connection.watches for connection in self._connections)
+        return sum(connection.has_watch for connection in self._connections)
 
     def now(self) -> float:
         """Seconds since the server began."""
         return time.monotonic() - self._began
 
-    def wait_while_silent(self) -> None:
-        while self.member.reach is Reach.SILENT:
+    def wait_while_unresponsive(self) -> None:
+        while self.member.availability is Availability.UNRESPONSIVE:
             self.changed.wait()
 
     def on_cluster_change(self) -> None:
         """Something changed in the cluster: listen or refuse, and wake the watches."""
-        if self.member.reach is Reach.DOWN:
+        if self.member.availability is Availability.DOWN:
             self.stop()
         else:
             self._listen()
@@ -207,7 +207,7 @@
 
     def _accept(self, sock: socket.socket, _: object) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.traffic.connects.add(self.now())
+        self.traffic.connections.add(self.now())
         connection = Connection(self, sock)
         self._connections.add(connection)
         try:
@@ -219,9 +219,9 @@
 class EtcdServer:
     """A cluster on loopback; a context manager that ends all members."""
 
-    def __init__(self, size: int = 1, progress_interval: float = PROGRESS_INTERVAL) -> None:
+    def __init__(self, size: int = 1, progress_interval_s: float = PROGRESS_INTERVAL_S) -> None:
         self.cluster = Cluster(size)
-        self.members = tuple(MemberServer(member, progress_interval) for member in self.cluster.members)
+        self.members = tuple(MemberServer(member, progress_interval_s) for member in self.cluster.members)
         self.cluster.listeners.append(self._on_cluster_change)
 
     @property
--- a/irisstack/lab/standins/traffic.py
+++ b/irisstack/lab/standins/traffic.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(slots=True)
-class Rate:
+class RateCounter:
     """A count, and how it spreads over whole seconds."""
 
     total: int = 0
@@ -21,7 +21,7 @@
         """The most in one second."""
         return max(self.by_second.values(), default=0)
 
-    def peak_from(self, second: int) -> int:
+    def peak_since(self, second: int) -> int:
         """The most in one second from that one on."""
         return max((count for at, count in self.by_second.items() if at >= second), default=0)
 
@@ -30,6 +30,6 @@
 class Traffic:
     """One server's counts."""
 
-    connects: Rate = field(default_factory=Rate)
-    requests: Rate = field(default_factory=Rate)
-    bytes_out: Rate = field(default_factory=Rate)
+    connections: RateCounter = field(default_factory=RateCounter)
+    requests: RateCounter = field(default_factory=RateCounter)
+    bytes_out: RateCounter = field(default_factory=RateCounter)
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -8,7 +8,7 @@
 import pytest
 
 from irisstack.__main__ import main
-from irisstack.lab.standins.etcd_cluster import Reach
+from irisstack.lab.standins.etcd_cluster import Availability
 from irisstack.lab.standins.etcd_server import EtcdServer
 from irisstack.node import settings_publisher
 from irisstack.node.config import HostPort
@@ -109,7 +109,7 @@
 def test_a_member_that_is_down_is_passed_over(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    server.cluster.set_reach(0, Reach.DOWN)
+    server.cluster.set_availability(0, Availability.DOWN)
     assert publish(node_file, GOOD) == 0
     assert published(server, node_file, capfd) == GOOD
 
@@ -118,7 +118,7 @@
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     for number in range(3):
-        server.cluster.set_reach(number, Reach.DOWN)
+        server.cluster.set_availability(number, Availability.DOWN)
     assert publish(node_file, GOOD) == 1
     assert capfd.readouterr().err.startswith("irisstack: no member answers: ")
 
--- a/tests/dynamic_settings/support.py
+++ b/tests/dynamic_settings/support.py
@@ -186,7 +186,7 @@
         """Change a member's mode; `REFUSES_CONNECTION` also closes the connections of its watches."""
         self.modes[name] = mode
         member = self.members[name]
-        member.watches_silent = mode is MemberMode.SILENT_WATCH
+        member.watches_stalled = mode is MemberMode.SILENT_WATCH
         member.reported_revision = 1 if mode is MemberMode.REPORTS_OLDER else None
         member.cluster_id = OTHER_CLUSTER if mode is MemberMode.OTHER_CLUSTER else None
         if mode is MemberMode.NO_LEADER:
@@ -206,7 +206,7 @@
     def _deliver_changes(self, name: str) -> None:
         """Send the member's watches the changes that they have not received."""
         member = self.members[name]
-        if self.modes[name] in UNRESPONSIVE_MODES or member.watches_silent:
+        if self.modes[name] in UNRESPONSIVE_MODES or member.watches_stalled:
             return
         for served_watch in self.served_watches[name]:
             while (response := served_watch.watch.read(member.store)) is not None:
@@ -216,7 +216,7 @@
         mode = self._connect(node, action.call_id, action.member)
         if mode is None:
             return
-        status, body = self.members[action.member].answer(etcd.RANGE_PATH, action.request.body())
+        status, body = self.members[action.member].handle_request(etcd.RANGE_PATH, action.request.body())
         if mode is MemberMode.REPORTS_NEWER and action.request.newest_first:
             body = self._with_newer_change(body)
         if mode is MemberMode.OVERSIZED_VALUE and not action.request.newest_first:
--- a/tests/lab/standins/test_etcd.py
+++ b/tests/lab/standins/test_etcd.py
@@ -6,7 +6,7 @@
 
 from irisstack.lab.standins import etcd
 from irisstack.lab.standins.etcd import (
-    ALL_KEYS,
+    UNBOUNDED_END,
     Compare,
     CompareResult,
     CompareTarget,
@@ -34,7 +34,7 @@
 
 
 def whole(store: Store, revision: int = 0) -> dict[bytes, bytes]:
-    return {kv.key: kv.value for kv in read(store, RangeRequest(b"\0", ALL_KEYS, revision=revision)).kvs}
+    return {kv.key: kv.value for kv in read(store, RangeRequest(b"\0", UNBOUNDED_END, revision=revision)).kvs}
 
 
 def filled() -> Store:
@@ -70,7 +70,7 @@
 def test_a_range_is_half_open_and_may_be_limited_sorted_or_counted() -> None:
     store = filled()
     assert [kv.key for kv in read(store, RangeRequest(b"a", b"c")).kvs] == [b"a", b"b"]
-    assert [kv.key for kv in read(store, RangeRequest(b"b", ALL_KEYS)).kvs] == [b"b", b"c"]
+    assert [kv.key for kv in read(store, RangeRequest(b"b", UNBOUNDED_END)).kvs] == [b"b", b"c"]
     limited = read(store, RangeRequest(b"a", b"d", limit=2))
     assert (len(limited.kvs), limited.more, limited.count) == (2, True, 3)
     by_value = RangeRequest(b"a", b"d", sort_order=SortOrder.DESCEND, sort_target=SortTarget.VALUE)
@@ -157,8 +157,8 @@
     assert response is not None
     (event,) = response.events
     assert event.type is etcd.EventType.DELETE
-    assert event.previous is not None
-    assert event.previous.value == b"9"
+    assert event.prev_kv is not None
+    assert event.prev_kv.value == b"9"
 
 
 def test_a_watch_without_a_start_begins_with_the_next_change() -> None:
@@ -208,7 +208,7 @@
 WRITES = st.lists(
     st.one_of(
         st.builds(PutRequest, KEYS, st.binary(max_size=2)),
-        st.builds(DeleteRangeRequest, KEYS, st.sampled_from([b"", b"d", ALL_KEYS])),
+        st.builds(DeleteRangeRequest, KEYS, st.sampled_from([b"", b"d", UNBOUNDED_END])),
     ),
     max_size=30,
 )
@@ -231,7 +231,7 @@
             assert whole(store, revision) == state
     start = min(max(start_at, store.compact_revision, 1), store.revision)
     replayed = dict(states[start])
-    watch, _ = Watch.create(WatchRequest(b"\0", ALL_KEYS, start_revision=start + 1), store)
+    watch, _ = Watch.create(WatchRequest(b"\0", UNBOUNDED_END, start_revision=start + 1), store)
     while (response := watch.read(store)) is not None:
         for event in response.events:
             if event.type is etcd.EventType.PUT:
--- a/tests/lab/standins/test_etcd_server.py
+++ b/tests/lab/standins/test_etcd_server.py
@@ -11,7 +11,7 @@
 
 from irisstack.lab.sockets import http
 from irisstack.lab.standins import etcd_server
-from irisstack.lab.standins.etcd_cluster import Reach
+from irisstack.lab.standins.etcd_cluster import Availability
 from irisstack.lab.standins.etcd_server import EtcdServer
 
 WAIT = 5.0
@@ -114,7 +114,7 @@
     status, answer = asking.ask("/v3/kv/range", {"key": text(b"z")})
     assert set(answer) == {"header"}
     assert server.members[0].traffic.requests.total == 3
-    assert server.members[0].traffic.connects.total == 1
+    assert server.members[0].traffic.connections.total == 1
 
 
 def test_a_transaction_and_a_deletion_over_the_gateway(server: EtcdServer) -> None:
@@ -164,7 +164,7 @@
     told = watching.next()
     assert told is not None
     assert told["result"]["events"] == [{"type": "DELETE", "kv": {"key": "YQ==", "mod_revision": "3"}}]
-    assert server.members[1].watches == 1
+    assert server.members[1].watch_count == 1
 
 
 def test_a_watch_of_a_compacted_revision_is_cancelled(server: EtcdServer) -> None:
@@ -182,7 +182,7 @@
 
 
 def test_progress_is_told_to_a_watch_that_asked() -> None:
-    with EtcdServer(progress_interval=0.02) as server:
+    with EtcdServer(progress_interval_s=0.02) as server:
         watching, other = client(server), client(server)
         watching.watch(b"a", progress_notify=True)
         other.watch(b"a")
@@ -198,12 +198,12 @@
     watching = client(server)
     watching.watch(b"a")
     assert watching.next() is not None
-    server.cluster.set_reach(0, Reach.DOWN)
+    server.cluster.set_availability(0, Availability.DOWN)
     assert watching.next() is None
     with pytest.raises(ConnectionRefusedError):
         client(server)
     server.cluster.put(b"a", b"1")
-    server.cluster.set_reach(0, Reach.UP)
+    server.cluster.set_availability(0, Availability.UP)
     assert client(server).ask("/v3/kv/range", {"key": text(b"a")})[1]["count"] == "1"
 
 
@@ -211,13 +211,13 @@
     watching = client(server)
     watching.watch(b"a")
     assert watching.next() is not None
-    server.cluster.set_reach(0, Reach.SILENT)
+    server.cluster.set_availability(0, Availability.UNRESPONSIVE)
     server.cluster.put(b"a", b"1")
     assert watching.silent()
     asking = client(server)
     asking.send("/v3/kv/range", {"key": text(b"a")})
     assert asking.silent()
-    server.cluster.set_reach(0, Reach.UP)
+    server.cluster.set_availability(0, Availability.UP)
     told = watching.next()
     assert told is not None
     assert told["result"]["events"][0]["kv"]["value"] == "MQ=="
@@ -226,8 +226,8 @@
 def test_a_member_that_trickles_sends_a_few_bytes_at_a_time(
     server: EtcdServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(etcd_server, "TRICKLE_INTERVAL", 0.001)
-    server.cluster.set_reach(0, Reach.TRICKLING)
+    monkeypatch.setattr(etcd_server, "TRICKLE_INTERVAL_S", 0.001)
+    server.cluster.set_availability(0, Availability.TRICKLING)
     asking = client(server)
     asking.send("/v3/kv/range", {"key": text(b"a")})
     assert len(asking.socket.recv(65536)) <= 2 * etcd_server.TRICKLE_BYTES
@@ -235,7 +235,7 @@
 
 @pytest.mark.parametrize("size", [1, 7, 64])
 def test_bytes_may_be_cut_anywhere(server: EtcdServer, size: int) -> None:
-    server.members[0].piece_size = size
+    server.members[0].max_write_bytes = size
     watching = client(server)
     watching.watch(b"a")
     assert watching.next() is not None
@@ -274,9 +274,9 @@
 
 def test_four_members_of_seven_that_are_down_leave_no_quorum(server: EtcdServer) -> None:
     for number in range(4):
-        server.cluster.set_reach(number, Reach.DOWN)
+        server.cluster.set_availability(number, Availability.DOWN)
     assert client(server, 6).ask("/v3/kv/range", {"key": text(b"a")})[0] == 503
-    server.cluster.set_reach(0, Reach.UP)
+    server.cluster.set_availability(0, Availability.UP)
     assert client(server, 6).ask("/v3/kv/range", {"key": text(b"a")})[0] == 200
 
 
@@ -309,7 +309,7 @@
     assert watching.next() is not None
     server.members[0].end_watches()
     assert watching.next() is None
-    server.cluster.members[0].watches_silent = True
+    server.cluster.members[0].watches_stalled = True
     watching = client(server)
     watching.watch(b"a")
     assert watching.next() is not None
@@ -324,5 +324,5 @@
     assert watching.next() is not None
     watching.socket.close()
     with gevent.Timeout(WAIT):
-        while server.members[0].watches:
+        while server.members[0].watch_count:
             gevent.sleep(0.001)
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -21,7 +21,7 @@
 from irisstack.dynamic_settings import decisions
 from irisstack.dynamic_settings.members import Members
 from irisstack.dynamic_settings.snapshot import SavedSettings, SavedSettingsFile
-from irisstack.lab.standins.etcd_cluster import Reach
+from irisstack.lab.standins.etcd_cluster import Availability
 from irisstack.lab.standins.etcd_server import EtcdServer
 from irisstack.node import member_call, settings_watch
 from irisstack.node.config import HostPort
@@ -165,11 +165,11 @@
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
         for number in range(3):
-            server.cluster.set_reach(number, Reach.DOWN)
+            server.cluster.set_availability(number, Availability.DOWN)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
             for number in range(3):
-                server.cluster.set_reach(number, Reach.UP)
+                server.cluster.set_availability(number, Availability.UP)
             put(server, a=2)
             node.wait_for(a=2)
 
@@ -188,15 +188,15 @@
 
 
 @pytest.mark.usefixtures("quick")
-@pytest.mark.parametrize("reach", [Reach.DOWN, Reach.SILENT])
-def test_the_watch_moves_away_from_a_member_that_is_lost(tmp_path: Path, reach: Reach) -> None:
+@pytest.mark.parametrize("availability", [Availability.DOWN, Availability.UNRESPONSIVE])
+def test_the_watch_moves_away_from_a_member_that_is_lost(tmp_path: Path, availability: Availability) -> None:
     with EtcdServer(3) as server:
         put(server, a=1)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
-            wait_until(lambda: any(member.watches for member in server.members))
-            number = next(n for n, member in enumerate(server.members) if member.watches)
-            server.cluster.set_reach(number, reach)
+            wait_until(lambda: any(member.watch_count for member in server.members))
+            number = next(n for n, member in enumerate(server.members) if member.watch_count)
+            server.cluster.set_availability(number, availability)
             put(server, a=2)
             node.wait_for(a=2)
 
@@ -207,17 +207,17 @@
         put(server, a=1)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a=1)
-            wait_until(lambda: any(member.watches for member in server.members))
+            wait_until(lambda: any(member.watch_count for member in server.members))
             for member in server.members:
-                if member.watches:
-                    member.member.watches_silent = True
+                if member.watch_count:
+                    member.member.watches_stalled = True
             put(server, a=2)
             node.wait_for(a=2)
 
 
 def test_answers_cut_anywhere_are_read(tmp_path: Path) -> None:
     with EtcdServer(1) as server:
-        server.members[0].piece_size = 1
+        server.members[0].max_write_bytes = 1
         put(server, a="x" * 300)
         with running(members_of(server), tmp_path) as node:
             node.wait_for(a="x" * 300)
