--- a/irisstack/lab/standins/etcd.py
+++ b/irisstack/lab/standins/etcd.py
@@ -13,7 +13,7 @@
 """As a range's end: every key from the range's start on."""
 FIRST_REVISION = 1
 """The revision of a store that was never written to."""
-WATCH_BATCH = 1000
+WATCH_BATCH_REVISIONS = 1000
 """Revisions at most in one response of a watch that catches up, as in etcd."""
 
 
@@ -241,7 +241,7 @@
     def __init__(self) -> None:
         self.revision = FIRST_REVISION
         self.compact_revision = 0
-        self._keys: list[bytes] = []
+        self._sorted_keys: list[bytes] = []
         self._versions: dict[bytes, list[KeyValue]] = {}
         self._changes: list[Change] = []
 
@@ -249,7 +249,7 @@
         """The store as it is now: a backup, or what a member that is cut off goes on with."""
         copied = Store()
         copied.revision, copied.compact_revision = self.revision, self.compact_revision
-        copied._keys = list(self._keys)
+        copied._sorted_keys = list(self._sorted_keys)
         copied._versions = {key: list(versions) for key, versions in self._versions.items()}
         copied._changes = list(self._changes)
         return copied
@@ -258,7 +258,7 @@
         """Carry out one request; raises `EtcdError` and changes nothing if it is refused."""
         if isinstance(request, CompactionRequest):
             return self._compact(request.revision)
-        self._check(request, set())
+        self._validate(request, set())
         events: list[Event] = []
         response = self._apply(request, self.revision + 1, events)
         if events:
@@ -271,11 +271,11 @@
         if revision < self.compact_revision:
             raise CompactedError
         first = bisect_left(self._changes, revision, key=lambda change: change.revision)
-        return self._changes[first : first + WATCH_BATCH]
+        return self._changes[first : first + WATCH_BATCH_REVISIONS]
 
     # ---- requests ----
 
-    def _check(self, request: Operation, written: set[bytes]) -> None:
+    def _validate(self, request: Operation, written_keys: set[bytes]) -> None:
         """Refuse what cannot be carried out before anything is changed."""
         match request:
             case RangeRequest(revision=revision):
@@ -286,14 +286,14 @@
             case PutRequest(key=key):
                 if not key:
                     raise InvalidArgumentError("etcdserver: key is not provided")
-                if key in written:
+                if key in written_keys:
                     raise InvalidArgumentError("etcdserver: duplicate key given in txn request")
-                written.add(key)
+                written_keys.add(key)
             case TxnRequest(success=success, failure=failure):
                 for branch in (success, failure):
-                    branch_written = set(written)
+                    branch_keys = set(written_keys)
                     for operation in branch:
-                        self._check(operation, branch_written)
+                        self._validate(operation, branch_keys)
 
     def _apply(self, request: Operation, revision: int, events: list[Event]) -> OperationResponse:
         match request:
@@ -304,18 +304,20 @@
             case DeleteRangeRequest():
                 return self._delete(request, revision, events)
             case TxnRequest():
-                succeeded = all(self._holds(compare) for compare in request.compare)
+                succeeded = all(self._is_satisfied(compare) for compare in request.compare)
                 branch = request.success if succeeded else request.failure
-                return TxnResponse(succeeded, tuple(self._apply(one, revision, events) for one in branch))
+                return TxnResponse(
+                    succeeded, tuple(self._apply(operation, revision, events) for operation in branch)
+                )
 
     def _range(self, request: RangeRequest) -> RangeResponse:
-        found = list(self._read(request.key, request.range_end, request.revision))
+        found = list(self._iter_range(request.key, request.range_end, request.revision))
         count = len(found)
         if request.count_only:
             return RangeResponse((), False, count)
         if request.sort_order is not SortOrder.NONE:
             found.sort(
-                key=lambda kv: _sort_value(kv, request.sort_target),
+                key=lambda kv: _sort_key(kv, request.sort_target),
                 reverse=request.sort_order is SortOrder.DESCEND,
             )
         if request.limit:
@@ -325,32 +327,34 @@
         return RangeResponse(tuple(found), len(found) < count, count)
 
     def _put(self, request: PutRequest, revision: int, events: list[Event]) -> PutResponse:
-        prev_kv = self._latest(request.key)
+        prev_kv = self._latest_version(request.key)
         if prev_kv is None:
             kv = KeyValue(request.key, request.value, revision, revision, 1)
         else:
             kv = KeyValue(request.key, request.value, prev_kv.create_revision, revision, prev_kv.version + 1)
-        self._write(kv)
+        self._append_version(kv)
         events.append(Event(EventType.PUT, kv, prev_kv))
         return PutResponse(prev_kv if request.prev_kv else None)
 
     def _delete(self, request: DeleteRangeRequest, revision: int, events: list[Event]) -> DeleteRangeResponse:
-        found = tuple(self._read(request.key, request.range_end, 0))
+        found = tuple(self._iter_range(request.key, request.range_end, 0))
         for prev_kv in found:
             tombstone = KeyValue(prev_kv.key, b"", 0, revision, 0)
-            self._write(tombstone)
+            self._append_version(tombstone)
             events.append(Event(EventType.DELETE, tombstone, prev_kv))
         return DeleteRangeResponse(len(found), found if request.prev_kv else ())
 
-    def _holds(self, compare: Compare) -> bool:
+    def _is_satisfied(self, compare: Compare) -> bool:
         if compare.range_end:
-            return all(_compared(kv, compare) for kv in self._read(compare.key, compare.range_end, 0))
-        kv = self._latest(compare.key)
+            return all(
+                _key_satisfies(kv, compare) for kv in self._iter_range(compare.key, compare.range_end, 0)
+            )
+        kv = self._latest_version(compare.key)
         if kv is None:
             if compare.target is CompareTarget.VALUE:
                 return False
             kv = KeyValue(compare.key, b"", 0, 0, 0)
-        return _compared(kv, compare)
+        return _key_satisfies(kv, compare)
 
     def _compact(self, revision: int) -> CompactionResponse:
         if revision > self.revision:
@@ -360,52 +364,52 @@
         self.compact_revision = revision
         self._changes = [change for change in self._changes if change.revision >= revision]
         for key, versions in list(self._versions.items()):
-            kept = versions[max(0, _count_until(versions, revision) - 1) :]
+            kept = versions[max(0, _count_versions_up_to(versions, revision) - 1) :]
             if kept[0].deleted and kept[0].mod_revision < revision:
                 kept = kept[1:]
             if kept:
                 self._versions[key] = kept
             else:
                 del self._versions[key]
-        self._keys = sorted(self._versions)
+        self._sorted_keys = sorted(self._versions)
         return CompactionResponse()
 
     # ---- keys ----
 
-    def _write(self, kv: KeyValue) -> None:
+    def _append_version(self, kv: KeyValue) -> None:
         versions = self._versions.get(kv.key)
         if versions is None:
-            insort(self._keys, kv.key)
+            insort(self._sorted_keys, kv.key)
             self._versions[kv.key] = [kv]
         else:
             versions.append(kv)
 
-    def _latest(self, key: bytes) -> KeyValue | None:
+    def _latest_version(self, key: bytes) -> KeyValue | None:
         versions = self._versions.get(key)
         return None if versions is None or versions[-1].deleted else versions[-1]
 
-    def _read(self, start: bytes, end: bytes, revision: int) -> Iterator[KeyValue]:
+    def _iter_range(self, start: bytes, end: bytes, revision: int) -> Iterator[KeyValue]:
         """The keys of a range as they stood at a revision; 0 means now."""
         for key in self._keys_in(start, end):
             versions = self._versions[key]
-            count = len(versions) if not revision else _count_until(versions, revision)
+            count = len(versions) if not revision else _count_versions_up_to(versions, revision)
             if count and not versions[count - 1].deleted:
                 yield versions[count - 1]
 
     def _keys_in(self, start: bytes, end: bytes) -> Sequence[bytes]:
         if not end:
             return [start] if start in self._versions else []
-        first = bisect_left(self._keys, start)
-        last = len(self._keys) if end == UNBOUNDED_END else bisect_left(self._keys, end)
-        return self._keys[first:last]
+        first = bisect_left(self._sorted_keys, start)
+        last = len(self._sorted_keys) if end == UNBOUNDED_END else bisect_left(self._sorted_keys, end)
+        return self._sorted_keys[first:last]
 
 
-def _count_until(versions: Sequence[KeyValue], revision: int) -> int:
+def _count_versions_up_to(versions: Sequence[KeyValue], revision: int) -> int:
     """How many versions of a key were written up to a revision."""
     return bisect_right(versions, revision, key=lambda kv: kv.mod_revision)
 
 
-def _sort_value(kv: KeyValue, target: SortTarget) -> int | bytes:
+def _sort_key(kv: KeyValue, target: SortTarget) -> int | bytes:
     match target:
         case SortTarget.KEY:
             return kv.key
@@ -419,19 +423,19 @@
             return kv.value
 
 
-def _compared(kv: KeyValue, compare: Compare) -> bool:
+def _key_satisfies(kv: KeyValue, compare: Compare) -> bool:
     match compare.target:
         case CompareTarget.VALUE:
-            return _order_holds(kv.value, compare.operand, compare.result)
+            return _values_satisfy(kv.value, compare.operand, compare.result)
         case CompareTarget.VERSION:
-            return _order_holds(kv.version, compare.operand, compare.result)
+            return _values_satisfy(kv.version, compare.operand, compare.result)
         case CompareTarget.CREATE:
-            return _order_holds(kv.create_revision, compare.operand, compare.result)
+            return _values_satisfy(kv.create_revision, compare.operand, compare.result)
         case CompareTarget.MOD:
-            return _order_holds(kv.mod_revision, compare.operand, compare.result)
+            return _values_satisfy(kv.mod_revision, compare.operand, compare.result)
 
 
-def _order_holds(left: int | bytes, right: int | bytes, result: CompareResult) -> bool:
+def _values_satisfy(left: int | bytes, right: int | bytes, result: CompareResult) -> bool:
     if isinstance(left, bytes) != isinstance(right, bytes):
         raise InvalidArgumentError("etcdserver: a comparison of unlike values")
     order = (left > right) - (left < right)  # type: ignore[operator]  # alike, as the line above has it
@@ -488,7 +492,9 @@
                 self.next_revision = store.revision + 1
                 return None
             self.next_revision = changes[-1].revision + 1
-            events = tuple(event for change in changes for event in change.events if self._wants(event))
+            events = tuple(
+                event for change in changes for event in change.events if self._in_watched_range(event)
+            )
             if events:
                 return WatchResponse(store.revision, events=events)
         return None
@@ -499,5 +505,5 @@
             return None
         return WatchResponse(store.revision)
 
-    def _wants(self, event: Event) -> bool:
+    def _in_watched_range(self, event: Event) -> bool:
         return in_range(event.kv.key, self.request.key, self.request.range_end)
--- a/irisstack/lab/standins/etcd_cluster.py
+++ b/irisstack/lab/standins/etcd_cluster.py
@@ -39,20 +39,22 @@
     """The id that the headers report in place of the cluster's."""
     reported_revision: int | None = None
     """A revision that the headers report in place of the store's."""
-    _copy: etcd.Store | None = field(default=None)
-    _encoded: tuple[tuple[etcd.WatchResponse, bool, etcd_json.Header], bytes] | None = field(default=None)
-    _read: dict[bytes, bytes] = field(default_factory=dict)
-    _read_at: tuple[int, int, etcd_json.Header] | None = field(default=None)
+    _isolated_store: etcd.Store | None = field(default=None)
+    _encoded_watch: tuple[tuple[etcd.WatchResponse, bool, etcd_json.Header], bytes] | None = field(
+        default=None
+    )
+    _range_cache: dict[bytes, bytes] = field(default_factory=dict)
+    _range_cache_key: tuple[int, int, etcd_json.Header] | None = field(default=None)
 
     @property
     def has_quorum(self) -> bool:
         """Whether this member reaches a majority of the cluster."""
-        return self._copy is None
+        return self._isolated_store is None
 
     @property
     def store(self) -> etcd.Store:
         """What this member knows."""
-        return self.cluster.store if self._copy is None else self._copy
+        return self.cluster.store if self._isolated_store is None else self._isolated_store
 
     def header(self, revision: int) -> etcd_json.Header:
         """The header of an answer at that revision of the store."""
@@ -69,17 +71,17 @@
         serializable = isinstance(request, etcd.RangeRequest) and request.serializable
         if not self.has_quorum and not serializable:
             raise etcd.NoLeaderError
-        before = self.store.revision
+        revision_before = self.store.revision
         response = self.store.execute(request)
-        if self.store.revision != before or isinstance(request, etcd.CompactionRequest):
+        if self.store.revision != revision_before or isinstance(request, etcd.CompactionRequest):
             self.cluster.notify_listeners()
         return response
 
     def handle_request(self, path: str, body: bytes) -> tuple[int, bytes]:
         """Status and body of the answer to a request that is no watch."""
-        known = self._known_reads()
-        if path == etcd_json.RANGE_PATH and body in known:
-            return 200, known[body]
+        cached = self._valid_range_cache()
+        if path == etcd_json.RANGE_PATH and body in cached:
+            return 200, cached[body]
         try:
             request = etcd_json.decode_request(path, body)
             if request is None:
@@ -87,34 +89,34 @@
             response = self.execute(request)
         except etcd.EtcdError as error:
             return etcd_json.encode_error(error)
-        answered = etcd_json.encode_response(self.header(self.store.revision), response)
+        response_body = etcd_json.encode_response(self.header(self.store.revision), response)
         if path == etcd_json.RANGE_PATH:
-            known[body] = answered
-        return 200, answered
+            cached[body] = response_body
+        return 200, response_body
 
-    def _known_reads(self) -> dict[bytes, bytes]:
+    def _valid_range_cache(self) -> dict[bytes, bytes]:
         """Answers by body, as long as nothing has changed: many nodes ask the same."""
-        read_at = id(self.store), self.store.compact_revision, self.header(self.store.revision)
-        if read_at != self._read_at:
-            self._read_at = read_at
-            self._read.clear()
-        return self._read
+        cache_key = id(self.store), self.store.compact_revision, self.header(self.store.revision)
+        if cache_key != self._range_cache_key:
+            self._range_cache_key = cache_key
+            self._range_cache.clear()
+        return self._range_cache
 
     def encode_watch(self, response: etcd.WatchResponse, *, prev_kv: bool = False) -> bytes:
         """One object of a watch's stream; cached, since many watches send the same."""
         key = response, prev_kv, self.header(response.revision)
-        if self._encoded is None or self._encoded[0] != key:
-            self._encoded = key, etcd_json.encode_watch(key[2], response, prev_kv=prev_kv)
-        return self._encoded[1]
+        if self._encoded_watch is None or self._encoded_watch[0] != key:
+            self._encoded_watch = key, etcd_json.encode_watch(key[2], response, prev_kv=prev_kv)
+        return self._encoded_watch[1]
 
     def lose_quorum(self) -> None:
         """Go on with a copy of the store as it is now."""
-        if self._copy is None:
-            self._copy = self.cluster.store.copy()
+        if self._isolated_store is None:
+            self._isolated_store = self.cluster.store.copy()
 
     def regain_quorum(self) -> None:
         """Share the cluster's store again."""
-        self._copy = None
+        self._isolated_store = None
 
 
 class Cluster:
@@ -165,14 +167,14 @@
     def set_availability(self, number: int, availability: Availability) -> None:
         """Change what clients of a member meet; a member that is down or hangs counts to no quorum."""
         self.members[number].availability = availability
-        self._elect()
+        self._update_quorums()
 
     def partition(self, *groups: Collection[int]) -> None:
         """Cut the network between groups of members; members that no group names are alone."""
         named = tuple(frozenset(group) for group in groups)
-        alone = set(range(len(self.members))).difference(*named)
-        self._groups = named + tuple(frozenset({number}) for number in alone)
-        self._elect()
+        isolated = set(range(len(self.members))).difference(*named)
+        self._groups = named + tuple(frozenset({number}) for number in isolated)
+        self._update_quorums()
 
     def heal(self) -> None:
         """All members reach one another again."""
@@ -188,17 +190,19 @@
             self.cluster_id = cluster_id
         for member in self.members:
             member.regain_quorum()
-        self._elect()
+        self._update_quorums()
 
-    def _elect(self) -> None:
+    def _update_quorums(self) -> None:
         """Find out which members have a quorum; a copy that is no longer needed is dropped."""
-        needed = len(self.members) // 2 + 1
+        majority = len(self.members) // 2 + 1
         for group in self._groups:
-            working = [
-                n for n in group if self.members[n].availability in (Availability.UP, Availability.TRICKLING)
+            available = [
+                member_number
+                for member_number in group
+                if self.members[member_number].availability in (Availability.UP, Availability.TRICKLING)
             ]
             for number in group:
-                if len(working) >= needed:
+                if len(available) >= majority:
                     self.members[number].regain_quorum()
                 else:
                     self.members[number].lose_quorum()
--- a/irisstack/lab/standins/etcd_http.py
+++ b/irisstack/lab/standins/etcd_http.py
@@ -14,8 +14,8 @@
     """The whole answer to a request that is no watch."""
     if method != "POST":
         return http.reply(METHOD_NOT_ALLOWED)
-    status, answered = member.handle_request(path, body)
-    return http.reply(status, JSON_HEADERS, answered)
+    status, response_body = member.handle_request(path, body)
+    return http.reply(status, JSON_HEADERS, response_body)
 
 
 def error_response(error: etcd.EtcdError) -> bytes:
--- a/irisstack/lab/standins/etcd_json.py
+++ b/irisstack/lab/standins/etcd_json.py
@@ -19,14 +19,14 @@
 Json = dict[str, Any]
 EnumType = TypeVar("EnumType", bound=IntEnum)
 
-HTTP_STATUS = {
+HTTP_STATUS_BY_CODE = {
     etcd.Code.INVALID_ARGUMENT: 400,
     etcd.Code.OUT_OF_RANGE: 400,
     etcd.Code.UNIMPLEMENTED: 501,
     etcd.Code.UNAVAILABLE: 503,
 }
 """What the gateway makes of a gRPC code."""
-HTTP_PHRASE = {400: "Bad Request", 501: "Not Implemented", 503: "Service Unavailable"}
+HTTP_REASON = {400: "Bad Request", 501: "Not Implemented", 503: "Service Unavailable"}
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,66 +52,66 @@
 WatchStreamRequest = etcd.WatchRequest | WatchCancelRequest | WatchProgressRequest
 
 
-class _Fields:
+class _FieldReader:
     """The fields of one JSON object, each taken once; those left over are unknown."""
 
     def __init__(self, message: str, raw: object) -> None:
         if not isinstance(raw, dict):
             raise etcd.InvalidArgumentError(f"json: cannot unmarshal a value into {message}")
         self._message = message
-        self._left: Json = dict(raw)
+        self._remaining: Json = dict(raw)
 
-    def _wrong(self, name: str) -> etcd.InvalidArgumentError:
+    def _invalid_value(self, name: str) -> etcd.InvalidArgumentError:
         return etcd.InvalidArgumentError(f"invalid value for field {name!r} in etcdserverpb.{self._message}")
 
     def has(self, name: str) -> bool:
-        return self._left.get(name) is not None
+        return self._remaining.get(name) is not None
 
     def bytes(self, name: str) -> bytes:
-        value = self._left.pop(name, "")
+        value = self._remaining.pop(name, "")
         try:
             return base64.b64decode(value, validate=True)
         except (TypeError, binascii.Error, ValueError):
-            raise self._wrong(name) from None
+            raise self._invalid_value(name) from None
 
     def integer(self, name: str) -> int:
-        value = self._left.pop(name, 0)
+        value = self._remaining.pop(name, 0)
         if isinstance(value, bool) or not isinstance(value, int | str):
-            raise self._wrong(name)
+            raise self._invalid_value(name)
         try:
             return int(value)
         except ValueError:
-            raise self._wrong(name) from None
+            raise self._invalid_value(name) from None
 
     def boolean(self, name: str) -> bool:
-        value = self._left.pop(name, False)
+        value = self._remaining.pop(name, False)
         if not isinstance(value, bool):
-            raise self._wrong(name)
+            raise self._invalid_value(name)
         return value
 
-    def enum(self, name: str, kind: type[EnumType]) -> EnumType:
-        value = self._left.pop(name, 0)
+    def enum(self, name: str, enum_type: type[EnumType]) -> EnumType:
+        value = self._remaining.pop(name, 0)
         try:
-            return kind[value] if isinstance(value, str) else kind(value)
+            return enum_type[value] if isinstance(value, str) else enum_type(value)
         except (KeyError, ValueError):
-            raise self._wrong(name) from None
+            raise self._invalid_value(name) from None
 
     def list(self, name: str) -> list[Any]:
-        value = self._left.pop(name, [])
+        value = self._remaining.pop(name, [])
         if not isinstance(value, list):
-            raise self._wrong(name)
+            raise self._invalid_value(name)
         return value
 
     def object(self, name: str) -> object:
-        return self._left.pop(name)
+        return self._remaining.pop(name)
 
     def ignore(self, *names: str) -> None:
         """Fields that change nothing here."""
         for name in names:
-            self._left.pop(name, None)
+            self._remaining.pop(name, None)
 
-    def end(self) -> None:
-        for name in self._left:
+    def reject_unknown(self) -> None:
+        for name in self._remaining:
             raise etcd.InvalidArgumentError(f'unknown field "{name}" in etcdserverpb.{self._message}')
 
 
@@ -119,7 +119,7 @@
 
 
 def decode_range(raw: object) -> etcd.RangeRequest:
-    fields = _Fields("RangeRequest", raw)
+    fields = _FieldReader("RangeRequest", raw)
     request = etcd.RangeRequest(
         fields.bytes("key"),
         fields.bytes("range_end"),
@@ -131,48 +131,48 @@
         fields.boolean("keys_only"),
         fields.boolean("count_only"),
     )
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
 def decode_put(raw: object) -> etcd.PutRequest:
-    fields = _Fields("PutRequest", raw)
+    fields = _FieldReader("PutRequest", raw)
     request = etcd.PutRequest(fields.bytes("key"), fields.bytes("value"), fields.boolean("prev_kv"))
     fields.ignore("lease")
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
 def decode_delete_range(raw: object) -> etcd.DeleteRangeRequest:
-    fields = _Fields("DeleteRangeRequest", raw)
+    fields = _FieldReader("DeleteRangeRequest", raw)
     request = etcd.DeleteRangeRequest(
         fields.bytes("key"), fields.bytes("range_end"), fields.boolean("prev_kv")
     )
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
 def decode_compaction(raw: object) -> etcd.CompactionRequest:
-    fields = _Fields("CompactionRequest", raw)
+    fields = _FieldReader("CompactionRequest", raw)
     request = etcd.CompactionRequest(fields.integer("revision"))
     fields.ignore("physical")
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
 def decode_txn(raw: object) -> etcd.TxnRequest:
-    fields = _Fields("TxnRequest", raw)
+    fields = _FieldReader("TxnRequest", raw)
     request = etcd.TxnRequest(
-        tuple(_decode_compare(one) for one in fields.list("compare")),
-        tuple(_decode_operation(one) for one in fields.list("success")),
-        tuple(_decode_operation(one) for one in fields.list("failure")),
+        tuple(_decode_compare(item) for item in fields.list("compare")),
+        tuple(_decode_operation(item) for item in fields.list("success")),
+        tuple(_decode_operation(item) for item in fields.list("failure")),
     )
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
 def _decode_compare(raw: object) -> etcd.Compare:
-    fields = _Fields("Compare", raw)
+    fields = _FieldReader("Compare", raw)
     target = fields.enum("target", etcd.CompareTarget)
     operand: int | bytes
     match target:
@@ -186,27 +186,27 @@
             operand = fields.integer("mod_revision")
     result = fields.enum("result", etcd.CompareResult)
     compare = etcd.Compare(fields.bytes("key"), fields.bytes("range_end"), target, result, operand)
-    fields.end()
+    fields.reject_unknown()
     return compare
 
 
 def _decode_operation(raw: object) -> etcd.Operation:
-    fields = _Fields("RequestOp", raw)
-    for name, decode in _OPERATIONS.items():
+    fields = _FieldReader("RequestOp", raw)
+    for name, decode in _OPERATION_DECODERS.items():
         if fields.has(name):
             operation = decode(fields.object(name))
-            fields.end()
+            fields.reject_unknown()
             return operation
     raise etcd.InvalidArgumentError("etcdserver: key not found")
 
 
-_OPERATIONS: Mapping[str, Callable[[object], etcd.Operation]] = {
+_OPERATION_DECODERS: Mapping[str, Callable[[object], etcd.Operation]] = {
     "request_range": decode_range,
     "request_put": decode_put,
     "request_delete_range": decode_delete_range,
     "request_txn": decode_txn,
 }
-_PATHS: Mapping[str, Callable[[object], etcd.Request]] = {
+_REQUEST_DECODERS: Mapping[str, Callable[[object], etcd.Request]] = {
     RANGE_PATH: decode_range,
     "/v3/kv/put": decode_put,
     "/v3/kv/deleterange": decode_delete_range,
@@ -217,31 +217,31 @@
 
 def decode_request(path: str, body: bytes) -> etcd.Request | None:
     """The message of a request's path and body; `None` for a path that the gateway has not."""
-    decode = _PATHS.get(path)
-    return None if decode is None else decode(_parsed(body))
+    decode = _REQUEST_DECODERS.get(path)
+    return None if decode is None else decode(_parse_json(body))
 
 
 def decode_watch(body: bytes) -> WatchStreamRequest:
     """The message that a body sends into a watch's stream."""
-    fields = _Fields("WatchRequest", _parsed(body))
+    fields = _FieldReader("WatchRequest", _parse_json(body))
     request: WatchStreamRequest
     if fields.has("create_request"):
         request = _decode_watch_create(fields.object("create_request"))
     elif fields.has("cancel_request"):
-        cancel = _Fields("WatchCancelRequest", fields.object("cancel_request"))
+        cancel = _FieldReader("WatchCancelRequest", fields.object("cancel_request"))
         request = WatchCancelRequest(cancel.integer("watch_id"))
-        cancel.end()
+        cancel.reject_unknown()
     elif fields.has("progress_request"):
-        _Fields("WatchProgressRequest", fields.object("progress_request")).end()
+        _FieldReader("WatchProgressRequest", fields.object("progress_request")).reject_unknown()
         request = WatchProgressRequest()
     else:
         raise etcd.InvalidArgumentError("a watch's request is empty")
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
 def _decode_watch_create(raw: object) -> etcd.WatchRequest:
-    fields = _Fields("WatchCreateRequest", raw)
+    fields = _FieldReader("WatchCreateRequest", raw)
     request = etcd.WatchRequest(
         fields.bytes("key"),
         fields.bytes("range_end"),
@@ -250,11 +250,11 @@
         fields.boolean("prev_kv"),
     )
     fields.ignore("watch_id", "fragment")
-    fields.end()
+    fields.reject_unknown()
     return request
 
 
-def _parsed(body: bytes) -> object:
+def _parse_json(body: bytes) -> object:
     try:
         return json.loads(body or b"{}")
     except ValueError as error:
@@ -266,56 +266,63 @@
 
 def encode_response(header: Header, response: etcd.Response) -> bytes:
     """The body of an answer with status 200."""
-    return _body({"header": _header(header), **_response(response)})
+    return _encode_json({"header": _header_fields(header), **_response_fields(response)})
 
 
 def encode_watch(header: Header, response: etcd.WatchResponse, *, prev_kv: bool = False) -> bytes:
     """One object of a watch's stream, with the line feed that follows it."""
-    events = [_event(event, prev_kv=prev_kv) for event in response.events]
+    events = [_event_fields(event, prev_kv=prev_kv) for event in response.events]
     result = {
-        "header": _header(header),
+        "header": _header_fields(header),
         "created": response.created,
         "canceled": response.canceled,
-        "compact_revision": _number(response.compact_revision),
+        "compact_revision": _encode_int64(response.compact_revision),
         "events": events,
     }
-    return _body({"result": _without_defaults(result)}) + b"\n"
+    return _encode_json({"result": _without_defaults(result)}) + b"\n"
 
 
 def encode_error(error: etcd.EtcdError) -> tuple[int, bytes]:
     """Status and body of an answer to a request that was refused."""
     body = {"error": error.message, "code": int(error.code), "message": error.message}
-    return HTTP_STATUS[error.code], _body(body)
+    return HTTP_STATUS_BY_CODE[error.code], _encode_json(body)
 
 
 def encode_stream_error(error: etcd.EtcdError) -> bytes:
     """The object that ends a stream which is under way."""
-    status = HTTP_STATUS[error.code]
-    inner = {
+    status = HTTP_STATUS_BY_CODE[error.code]
+    details = {
         "grpc_code": int(error.code),
         "http_code": status,
         "message": error.message,
-        "http_status": HTTP_PHRASE[status],
+        "http_status": HTTP_REASON[status],
     }
-    return _body({"error": inner}) + b"\n"
+    return _encode_json({"error": details}) + b"\n"
 
 
-def _response(response: etcd.Response) -> Json:
+def _response_fields(response: etcd.Response) -> Json:
     match response:
         case etcd.RangeResponse(kvs, more, count):
-            raw: Json = {"kvs": [_key_value(kv) for kv in kvs], "more": more, "count": _number(count)}
+            raw: Json = {
+                "kvs": [_key_value_fields(kv) for kv in kvs],
+                "more": more,
+                "count": _encode_int64(count),
+            }
         case etcd.PutResponse(prev_kv):
-            raw = {"prev_kv": prev_kv and _key_value(prev_kv)}
-        case etcd.DeleteRangeResponse(deleted, found):
-            raw = {"deleted": _number(deleted), "prev_kvs": [_key_value(kv) for kv in found]}
+            raw = {"prev_kv": prev_kv and _key_value_fields(prev_kv)}
+        case etcd.DeleteRangeResponse(deleted, prev_kvs):
+            raw = {"deleted": _encode_int64(deleted), "prev_kvs": [_key_value_fields(kv) for kv in prev_kvs]}
         case etcd.TxnResponse(succeeded, responses):
-            raw = {"succeeded": succeeded, "responses": [_operation_response(one) for one in responses]}
+            raw = {
+                "succeeded": succeeded,
+                "responses": [_operation_response_fields(item) for item in responses],
+            }
         case etcd.CompactionResponse():
             raw = {}
     return _without_defaults(raw)
 
 
-def _operation_response(response: etcd.OperationResponse) -> Json:
+def _operation_response_fields(response: etcd.OperationResponse) -> Json:
     match response:
         case etcd.RangeResponse():
             name = "response_range"
@@ -325,40 +332,40 @@
             name = "response_delete_range"
         case etcd.TxnResponse():
             name = "response_txn"
-    return {name: _response(response)}
+    return {name: _response_fields(response)}
 
 
-def _header(header: Header) -> Json:
+def _header_fields(header: Header) -> Json:
     raw = {
-        "cluster_id": _number(header.cluster_id),
-        "member_id": _number(header.member_id),
-        "revision": _number(header.revision),
-        "raft_term": _number(header.raft_term),
+        "cluster_id": _encode_int64(header.cluster_id),
+        "member_id": _encode_int64(header.member_id),
+        "revision": _encode_int64(header.revision),
+        "raft_term": _encode_int64(header.raft_term),
     }
     return _without_defaults(raw)
 
 
-def _event(event: etcd.Event, *, prev_kv: bool) -> Json:
+def _event_fields(event: etcd.Event, *, prev_kv: bool) -> Json:
     raw = {
         "type": event.type.name if event.type is not etcd.EventType.PUT else "",
-        "kv": _key_value(event.kv),
-        "prev_kv": _key_value(event.prev_kv) if prev_kv and event.prev_kv is not None else None,
+        "kv": _key_value_fields(event.kv),
+        "prev_kv": _key_value_fields(event.prev_kv) if prev_kv and event.prev_kv is not None else None,
     }
     return _without_defaults(raw)
 
 
-def _key_value(kv: etcd.KeyValue) -> Json:
+def _key_value_fields(kv: etcd.KeyValue) -> Json:
     raw = {
         "key": base64.b64encode(kv.key).decode(),
-        "create_revision": _number(kv.create_revision),
-        "mod_revision": _number(kv.mod_revision),
-        "version": _number(kv.version),
+        "create_revision": _encode_int64(kv.create_revision),
+        "mod_revision": _encode_int64(kv.mod_revision),
+        "version": _encode_int64(kv.version),
         "value": base64.b64encode(kv.value).decode(),
     }
     return _without_defaults(raw)
 
 
-def _number(value: int) -> str:
+def _encode_int64(value: int) -> str:
     """A 64-bit number; empty for 0, which is left out."""
     return str(value) if value else ""
 
@@ -367,5 +374,5 @@
     return {name: value for name, value in raw.items() if value not in ("", False, None, [])}
 
 
-def _body(raw: Json) -> bytes:
+def _encode_json(raw: Json) -> bytes:
     return json.dumps(raw, separators=(",", ":")).encode()
--- a/irisstack/lab/standins/etcd_server.py
+++ b/irisstack/lab/standins/etcd_server.py
@@ -36,7 +36,7 @@
     def __init__(self, server: "MemberServer", sock: socket.socket) -> None:
         self._server = server
         self._socket = sock
-        self._stream: gevent.Greenlet[..., None] | None = None
+        self._watch_greenlet: gevent.Greenlet[..., None] | None = None
 
     def serve(self) -> None:
         """Answer requests until the client leaves or the member ends the connection."""
@@ -44,13 +44,13 @@
         try:
             while data := self._socket.recv(65536):
                 request = reader.feed(data)
-                if request is not None and not self._take(request):
+                if request is not None and not self._handle_request(request):
                     break
         except (OSError, httptools.HttpParserError):
             pass
         finally:
-            if self._stream is not None:
-                self._stream.kill(block=False)
+            if self._watch_greenlet is not None:
+                self._watch_greenlet.kill(block=False)
             self._socket.close()
 
     def reset(self) -> None:
@@ -58,10 +58,10 @@
         with suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
-    def end_stream(self) -> None:
+    def end_watch(self) -> None:
         """End the watch that is held, as a server does that shuts down in good order."""
-        if self._stream is not None:
-            self._stream.kill()
+        if self._watch_greenlet is not None:
+            self._watch_greenlet.kill()
             with suppress(OSError):
                 self._send(etcd_http.STREAM_END)
             self.reset()
@@ -69,36 +69,38 @@
     @property
     def has_watch(self) -> bool:
         """Whether a watch is held on this connection."""
-        return self._stream is not None and not self._stream.dead
+        return self._watch_greenlet is not None and not self._watch_greenlet.dead
 
-    def _take(self, request: http.Request) -> bool:
+    def _handle_request(self, request: http.Request) -> bool:
         """Answer one request; returns whether the connection goes on."""
         server = self._server
         server.traffic.requests.add(server.now())
         if request.target == etcd_json.WATCH_PATH:
-            self._stream = gevent.spawn(self._watch, request)
+            self._watch_greenlet = gevent.spawn(self._serve_watch, request)
             return True
         server.wait_while_unresponsive()
         self._send(etcd_http.handle_request(server.member, request.method, request.target, request.body))
         return request.headers.get("connection", "").lower() != "close"
 
-    def _watch(self, request: http.Request) -> None:
+    def _serve_watch(self, request: http.Request) -> None:
         """Hold one watch until the connection ends."""
         server = self._server
         server.wait_while_unresponsive()
         try:
-            wanted = etcd_json.decode_watch(request.body)
+            watch_request = etcd_json.decode_watch(request.body)
         except etcd.EtcdError as error:
-            self._send_to_the_end(etcd_http.error_response(error))
+            self._send_and_reset(etcd_http.error_response(error))
             return
-        if not isinstance(wanted, etcd.WatchRequest):
+        if not isinstance(watch_request, etcd.WatchRequest):
             return  # cancels and progress refer to another stream, so nothing answers them
         with suppress(OSError):
-            self._follow(wanted, needs_leader=request.headers.get(REQUIRE_LEADER_HEADER) == "true")
+            self._send_changes(
+                watch_request, needs_leader=request.headers.get(REQUIRE_LEADER_HEADER) == "true"
+            )
 
-    def _follow(self, wanted: etcd.WatchRequest, *, needs_leader: bool) -> None:
+    def _send_changes(self, watch_request: etcd.WatchRequest, *, needs_leader: bool) -> None:
         server, member = self._server, self._server.member
-        watch, response = etcd.Watch.create(wanted, member.store)
+        watch, response = etcd.Watch.create(watch_request, member.store)
         created = etcd_http.encode_chunk(member.encode_watch(response))
         self._send(etcd_http.STREAM_HEAD + created)
         while True:
@@ -106,17 +108,19 @@
             server.wait_while_unresponsive()
             if needs_leader and not member.has_quorum:
                 error = etcd_http.encode_chunk(etcd_json.encode_stream_error(etcd.NoLeaderError()))
-                self._send_to_the_end(error + etcd_http.STREAM_END)
+                self._send_and_reset(error + etcd_http.STREAM_END)
                 return
-            message = None if member.watches_stalled else watch.read(member.store)
-            if message is None:
+            next_response = None if member.watches_stalled else watch.read(member.store)
+            if next_response is None:
                 if changed.wait(server.progress_interval_s) or member.watches_stalled:
                     continue
-                message = watch.progress(member.store) if wanted.progress_notify else None
-            if message is not None:
-                self._send(etcd_http.encode_chunk(member.encode_watch(message, prev_kv=wanted.prev_kv)))
+                next_response = watch.progress(member.store) if watch_request.progress_notify else None
+            if next_response is not None:
+                self._send(
+                    etcd_http.encode_chunk(member.encode_watch(next_response, prev_kv=watch_request.prev_kv))
+                )
 
-    def _send_to_the_end(self, data: bytes) -> None:
+    def _send_and_reset(self, data: bytes) -> None:
         with suppress(OSError):
             self._send(data)
         self.reset()
@@ -124,15 +128,15 @@
     def _send(self, data: bytes) -> None:
         """Write bytes, in pieces if `max_write_bytes` is set or the member trickles."""
         server = self._server
-        size, pause = server.max_write_bytes or len(data), 0.0
+        write_bytes, pause_s = server.max_write_bytes or len(data), 0.0
         if server.member.availability is Availability.TRICKLING:
-            size, pause = TRICKLE_BYTES, TRICKLE_INTERVAL_S
-        for start in range(0, len(data), size):
+            write_bytes, pause_s = TRICKLE_BYTES, TRICKLE_INTERVAL_S
+        for start in range(0, len(data), write_bytes):
             if start:
-                gevent.sleep(pause)
-            piece = data[start : start + size]
-            self._socket.sendall(piece)
-            server.traffic.bytes_out.add(server.now(), len(piece))
+                gevent.sleep(pause_s)
+            part = data[start : start + write_bytes]
+            self._socket.sendall(part)
+            server.traffic.bytes_out.add(server.now(), len(part))
 
 
 class MemberServer:
@@ -147,13 +151,13 @@
         self.changed = Event()
         self._connections: set[Connection] = set()
         self._server: StreamServer | None = None
-        self._bound = (HOST, 0)
-        self._began = time.monotonic()
+        self._bound_address = (HOST, 0)
+        self._started_at = time.monotonic()
         self._listen()
 
     @property
     def address(self) -> str:
-        return f"{self._bound[0]}:{self._bound[1]}"
+        return f"{self._bound_address[0]}:{self._bound_address[1]}"
 
     @property
     def watch_count(self) -> int:
@@ -162,7 +166,7 @@
 
     def now(self) -> float:
         """Seconds since the server began."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
     def wait_while_unresponsive(self) -> None:
         while self.member.availability is Availability.UNRESPONSIVE:
@@ -180,7 +184,7 @@
     def end_watches(self) -> None:
         """End all watches in good order."""
         for connection in list(self._connections):
-            connection.end_stream()
+            connection.end_watch()
 
     def reset_connections(self) -> None:
         """End all connections at once."""
@@ -199,9 +203,9 @@
             return
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(self._bound)
+        listener.bind(self._bound_address)
         listener.listen(BACKLOG)
-        self._bound = listener.getsockname()
+        self._bound_address = listener.getsockname()
         self._server = StreamServer(listener, self._accept)
         self._server.start()
 
@@ -247,6 +251,9 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        exc_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         self.stop()
--- a/irisstack/lab/standins/traffic.py
+++ b/irisstack/lab/standins/traffic.py
@@ -23,7 +23,9 @@
 
     def peak_since(self, second: int) -> int:
         """The most in one second from that one on."""
-        return max((count for at, count in self.by_second.items() if at >= second), default=0)
+        return max(
+            (count for counted_second, count in self.by_second.items() if counted_second >= second), default=0
+        )
 
 
 @dataclass(slots=True)
--- a/tests/lab/standins/test_etcd_server.py
+++ b/tests/lab/standins/test_etcd_server.py
@@ -14,30 +14,30 @@
 from irisstack.lab.standins.etcd_cluster import Availability
 from irisstack.lab.standins.etcd_server import EtcdServer
 
-WAIT = 5.0
+TIMEOUT_S = 5.0
 """Seconds in which what has to come comes, on a machine of any speed."""
-QUIET = 0.1
+QUIET_PERIOD_S = 0.1
 """Seconds in which nothing comes where nothing has to."""
 
 Json = dict[str, Any]
 
 
-def text(value: bytes) -> str:
+def encode_base64(value: bytes) -> str:
     return base64.b64encode(value).decode()
 
 
-class Client:
+class GatewayClient:
     """One connection to a member."""
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
-        self.socket = socket.create_connection((host, int(port)), timeout=WAIT)
-        self._left = b""
+        self.socket = socket.create_connection((host, int(port)), timeout=TIMEOUT_S)
+        self._buffer = b""
 
     def send(self, path: str, body: Json, headers: dict[str, str] | None = None) -> None:
         self.socket.sendall(http.request("POST", path, "etcd", headers or {}, json.dumps(body).encode()))
 
-    def ask(self, path: str, body: Json) -> tuple[int, Json]:
+    def post(self, path: str, body: Json) -> tuple[int, Json]:
         """One request, and its answer's status and object."""
         self.send(path, body)
         reader = http.ReplyReader()
@@ -46,40 +46,40 @@
         return reply.status, json.loads(reply.body)
 
     def watch(self, key: bytes, *, headers: dict[str, str] | None = None, **fields: object) -> None:
-        create = {"key": text(key), "range_end": text(b"\0"), **fields}
+        create = {"key": encode_base64(key), "range_end": encode_base64(b"\0"), **fields}
         self.send("/v3/watch", {"create_request": create}, headers)
 
-    def next(self) -> Json | None:
+    def next_object(self) -> Json | None:
         """The next object of a watch; `None` at its end."""
-        while b"\n" not in (body := self._body()):
+        while b"\n" not in (body := self._first_chunk()):
             data = self.socket.recv(65536)
             if not data:
                 return None
-            self._left += data
+            self._buffer += data
         line, _, _ = body.partition(b"\n")
-        head, _, chunks = self._left.partition(b"\r\n\r\n")
+        head, _, chunks = self._buffer.partition(b"\r\n\r\n")
         if not head.startswith(b"HTTP/"):
-            head, chunks = b"", self._left
+            head, chunks = b"", self._buffer
         size, _, rest = chunks.partition(b"\r\n")
-        self._left = rest[int(size, 16) + 2 :]
-        found: Json = json.loads(line)
-        return found
+        self._buffer = rest[int(size, 16) + 2 :]
+        decoded: Json = json.loads(line)
+        return decoded
 
-    def _body(self) -> bytes:
+    def _first_chunk(self) -> bytes:
         """The first chunk, if it is here whole."""
-        left = self._left
-        if left.startswith(b"HTTP/"):
-            head, found, left = left.partition(b"\r\n\r\n")
-            if not found:
+        buffer = self._buffer
+        if buffer.startswith(b"HTTP/"):
+            head, separator, buffer = buffer.partition(b"\r\n\r\n")
+            if not separator:
                 return b""
             assert head.startswith(b"HTTP/1.1 200")
-        size, found, rest = left.partition(b"\r\n")
-        length = int(size, 16) if found else 0
-        return rest[:length] if found and len(rest) >= length + 2 else b""
+        size, separator, rest = buffer.partition(b"\r\n")
+        length = int(size, 16) if separator else 0
+        return rest[:length] if separator and len(rest) >= length + 2 else b""
 
-    def silent(self) -> bool:
+    def receives_nothing(self) -> bool:
         """Whether nothing comes for a while."""
-        self.socket.settimeout(QUIET)
+        self.socket.settimeout(QUIET_PERIOD_S)
         try:
             self.socket.recv(1)
         except TimeoutError:
@@ -87,7 +87,7 @@
         else:
             return False
         finally:
-            self.socket.settimeout(WAIT)
+            self.socket.settimeout(TIMEOUT_S)
 
 
 @pytest.fixture
@@ -96,74 +96,76 @@
         yield running
 
 
-def client(server: EtcdServer, member: int = 0) -> Client:
-    return Client(server.addresses[member])
+def connect(server: EtcdServer, member: int = 0) -> GatewayClient:
+    return GatewayClient(server.addresses[member])
 
 
-def test_a_key_is_put_and_read_as_the_gateway_writes_it(server: EtcdServer) -> None:
-    asking = client(server)
-    status, answer = asking.ask("/v3/kv/put", {"key": text(b"a"), "value": text(b"1")})
+def test_put_and_range_responses_match_the_json_of_the_gateway(server: EtcdServer) -> None:
+    client = connect(server)
+    status, response = client.post("/v3/kv/put", {"key": encode_base64(b"a"), "value": encode_base64(b"1")})
     assert status == 200
-    assert answer["header"]["revision"] == "2"
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"a")})
-    assert answer["kvs"] == [
+    assert response["header"]["revision"] == "2"
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"a")})
+    assert response["kvs"] == [
         {"key": "YQ==", "create_revision": "2", "mod_revision": "2", "version": "1", "value": "MQ=="}
     ]
-    assert answer["count"] == "1"
-    assert "more" not in answer
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"z")})
-    assert set(answer) == {"header"}
+    assert response["count"] == "1"
+    assert "more" not in response
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"z")})
+    assert set(response) == {"header"}
     assert server.members[0].traffic.requests.total == 3
     assert server.members[0].traffic.connections.total == 1
 
 
 def test_a_transaction_and_a_deletion_over_the_gateway(server: EtcdServer) -> None:
-    asking = client(server)
-    compare = {"key": text(b"a"), "target": "MOD", "result": "EQUAL", "mod_revision": "0"}
-    put = {"request_put": {"key": text(b"a"), "value": text(b"1")}}
-    read = {"request_range": {"key": text(b"a")}}
-    _, answer = asking.ask("/v3/kv/txn", {"compare": [compare], "success": [put], "failure": [read]})
-    assert answer["succeeded"] is True
-    _, answer = asking.ask("/v3/kv/txn", {"compare": [compare], "success": [put], "failure": [read]})
-    assert "succeeded" not in answer
-    assert answer["responses"][0]["response_range"]["kvs"][0]["mod_revision"] == "2"
-    _, answer = asking.ask("/v3/kv/deleterange", {"key": text(b"a")})
-    assert answer["deleted"] == "1"
-
-
-def test_errors_carry_the_gateways_codes(server: EtcdServer) -> None:
+    client = connect(server)
+    compare = {"key": encode_base64(b"a"), "target": "MOD", "result": "EQUAL", "mod_revision": "0"}
+    put = {"request_put": {"key": encode_base64(b"a"), "value": encode_base64(b"1")}}
+    read = {"request_range": {"key": encode_base64(b"a")}}
+    _, response = client.post("/v3/kv/txn", {"compare": [compare], "success": [put], "failure": [read]})
+    assert response["succeeded"] is True
+    _, response = client.post("/v3/kv/txn", {"compare": [compare], "success": [put], "failure": [read]})
+    assert "succeeded" not in response
+    assert response["responses"][0]["response_range"]["kvs"][0]["mod_revision"] == "2"
+    _, response = client.post("/v3/kv/deleterange", {"key": encode_base64(b"a")})
+    assert response["deleted"] == "1"
+
+
+def test_errors_carry_the_codes_of_the_gateway(server: EtcdServer) -> None:
     for value in range(4):
         server.cluster.put(b"a", b"%d" % value)
     server.cluster.compact(4)
-    asking = client(server)
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"a"), "revision": "3"})
-    assert (status, answer["code"]) == (400, 11)
-    assert answer["message"] == answer["error"]
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"a"), "revision": "99"})
-    assert (status, answer["code"]) == (400, 11)
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"a"), "rangeend": ""})
-    assert (status, answer["code"]) == (400, 3)
-    status, answer = asking.ask("/v3/kv/range", {"key": "*"})
-    assert (status, answer["code"]) == (400, 3)
-    status, answer = asking.ask("/v3/kv/other", {})
+    client = connect(server)
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"a"), "revision": "3"})
+    assert (status, response["code"]) == (400, 11)
+    assert response["message"] == response["error"]
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"a"), "revision": "99"})
+    assert (status, response["code"]) == (400, 11)
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"a"), "rangeend": ""})
+    assert (status, response["code"]) == (400, 3)
+    status, response = client.post("/v3/kv/range", {"key": "*"})
+    assert (status, response["code"]) == (400, 3)
+    status, response = client.post("/v3/kv/other", {})
     assert status == 404
 
 
-def test_a_watch_tells_changes_as_they_come(server: EtcdServer) -> None:
-    watching = client(server, 1)
-    watching.watch(b"a")
-    created = watching.next()
+def test_a_watch_delivers_changes_as_they_occur(server: EtcdServer) -> None:
+    watcher = connect(server, 1)
+    watcher.watch(b"a")
+    created = watcher.next_object()
     assert created is not None
     assert created["result"]["created"] is True
     server.cluster.put(b"a", b"1")
-    told = watching.next()
-    assert told is not None
-    assert told["result"]["events"][0]["kv"]["value"] == "MQ=="
-    assert "type" not in told["result"]["events"][0]
+    watch_response = watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["result"]["events"][0]["kv"]["value"] == "MQ=="
+    assert "type" not in watch_response["result"]["events"][0]
     server.cluster.delete(b"a")
-    told = watching.next()
-    assert told is not None
-    assert told["result"]["events"] == [{"type": "DELETE", "kv": {"key": "YQ==", "mod_revision": "3"}}]
+    watch_response = watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["result"]["events"] == [
+        {"type": "DELETE", "kv": {"key": "YQ==", "mod_revision": "3"}}
+    ]
     assert server.members[1].watch_count == 1
 
 
@@ -171,158 +173,160 @@
     for value in range(4):
         server.cluster.put(b"a", b"%d" % value)
     server.cluster.compact(4)
-    watching = client(server)
-    watching.watch(b"a", start_revision="2")
-    assert watching.next() is not None
-    told = watching.next()
-    assert told is not None
-    assert told["result"]["canceled"] is True
-    assert told["result"]["compact_revision"] == "4"
-    assert "revision" not in told["result"]["header"]
+    watcher = connect(server)
+    watcher.watch(b"a", start_revision="2")
+    assert watcher.next_object() is not None
+    watch_response = watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["result"]["canceled"] is True
+    assert watch_response["result"]["compact_revision"] == "4"
+    assert "revision" not in watch_response["result"]["header"]
 
 
-def test_progress_is_told_to_a_watch_that_asked() -> None:
+def test_progress_is_sent_only_to_a_watch_that_requested_it() -> None:
     with EtcdServer(progress_interval_s=0.02) as server:
-        watching, other = client(server), client(server)
-        watching.watch(b"a", progress_notify=True)
-        other.watch(b"a")
-        assert watching.next() is not None
-        told = watching.next()
-        assert told is not None
-        assert set(told["result"]) == {"header"}
-        assert other.next() is not None
-        assert other.silent()
-
-
-def test_a_member_that_is_down_refuses_and_comes_back_on_its_port(server: EtcdServer) -> None:
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
+        watcher, other_watcher = connect(server), connect(server)
+        watcher.watch(b"a", progress_notify=True)
+        other_watcher.watch(b"a")
+        assert watcher.next_object() is not None
+        watch_response = watcher.next_object()
+        assert watch_response is not None
+        assert set(watch_response["result"]) == {"header"}
+        assert other_watcher.next_object() is not None
+        assert other_watcher.receives_nothing()
+
+
+def test_a_member_that_is_down_refuses_connections_and_returns_on_its_port(server: EtcdServer) -> None:
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
     server.cluster.set_availability(0, Availability.DOWN)
-    assert watching.next() is None
+    assert watcher.next_object() is None
     with pytest.raises(ConnectionRefusedError):
-        client(server)
+        connect(server)
     server.cluster.put(b"a", b"1")
     server.cluster.set_availability(0, Availability.UP)
-    assert client(server).ask("/v3/kv/range", {"key": text(b"a")})[1]["count"] == "1"
+    assert connect(server).post("/v3/kv/range", {"key": encode_base64(b"a")})[1]["count"] == "1"
 
 
-def test_a_member_that_hangs_takes_connections_and_never_answers(server: EtcdServer) -> None:
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
+def test_an_unresponsive_member_accepts_connections_and_never_answers(server: EtcdServer) -> None:
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
     server.cluster.set_availability(0, Availability.UNRESPONSIVE)
     server.cluster.put(b"a", b"1")
-    assert watching.silent()
-    asking = client(server)
-    asking.send("/v3/kv/range", {"key": text(b"a")})
-    assert asking.silent()
+    assert watcher.receives_nothing()
+    client = connect(server)
+    client.send("/v3/kv/range", {"key": encode_base64(b"a")})
+    assert client.receives_nothing()
     server.cluster.set_availability(0, Availability.UP)
-    told = watching.next()
-    assert told is not None
-    assert told["result"]["events"][0]["kv"]["value"] == "MQ=="
+    watch_response = watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["result"]["events"][0]["kv"]["value"] == "MQ=="
 
 
-def test_a_member_that_trickles_sends_a_few_bytes_at_a_time(
+def test_a_trickling_member_sends_a_few_bytes_at_a_time(
     server: EtcdServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(etcd_server, "TRICKLE_INTERVAL_S", 0.001)
     server.cluster.set_availability(0, Availability.TRICKLING)
-    asking = client(server)
-    asking.send("/v3/kv/range", {"key": text(b"a")})
-    assert len(asking.socket.recv(65536)) <= 2 * etcd_server.TRICKLE_BYTES
+    client = connect(server)
+    client.send("/v3/kv/range", {"key": encode_base64(b"a")})
+    assert len(client.socket.recv(65536)) <= 2 * etcd_server.TRICKLE_BYTES
 
 
 @pytest.mark.parametrize("size", [1, 7, 64])
-def test_bytes_may_be_cut_anywhere(server: EtcdServer, size: int) -> None:
+def test_responses_may_be_split_at_any_byte(server: EtcdServer, size: int) -> None:
     server.members[0].max_write_bytes = size
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
     server.cluster.put(b"a", b"x" * 500)
-    told = watching.next()
-    assert told is not None
-    assert told["result"]["events"][0]["kv"]["value"] == text(b"x" * 500)
+    watch_response = watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["result"]["events"][0]["kv"]["value"] == encode_base64(b"x" * 500)
 
 
-def test_a_member_without_a_quorum_serves_the_old_state(server: EtcdServer) -> None:
+def test_a_member_without_quorum_serves_stale_data_to_serializable_reads_only(server: EtcdServer) -> None:
     server.cluster.put(b"a", b"1")
-    watching, strict = client(server, 6), client(server, 6)
-    watching.watch(b"a")
-    strict.watch(b"a", headers={"Grpc-Metadata-Hasleader": "true"})
-    assert watching.next() is not None
-    assert strict.next() is not None
+    watcher, leader_watcher = connect(server, 6), connect(server, 6)
+    watcher.watch(b"a")
+    leader_watcher.watch(b"a", headers={"Grpc-Metadata-Hasleader": "true"})
+    assert watcher.next_object() is not None
+    assert leader_watcher.next_object() is not None
     server.cluster.partition([0, 1, 2, 3], [4, 5, 6])
     server.cluster.put(b"a", b"2")
-    asking = client(server, 6)
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"a")})
-    assert (status, answer["code"]) == (503, 14)
-    status, answer = asking.ask("/v3/kv/put", {"key": text(b"a"), "value": ""})
-    assert (status, answer["code"]) == (503, 14)
-    status, answer = asking.ask("/v3/kv/range", {"key": text(b"a"), "serializable": True})
-    assert answer["kvs"][0]["value"] == text(b"1")
-    assert watching.silent()
-    told = strict.next()
-    assert told is not None
-    assert told["error"]["grpc_code"] == 14
-    assert client(server, 0).ask("/v3/kv/range", {"key": text(b"a")})[1]["kvs"][0]["value"] == text(b"2")
+    client = connect(server, 6)
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"a")})
+    assert (status, response["code"]) == (503, 14)
+    status, response = client.post("/v3/kv/put", {"key": encode_base64(b"a"), "value": ""})
+    assert (status, response["code"]) == (503, 14)
+    status, response = client.post("/v3/kv/range", {"key": encode_base64(b"a"), "serializable": True})
+    assert response["kvs"][0]["value"] == encode_base64(b"1")
+    assert watcher.receives_nothing()
+    watch_response = leader_watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["error"]["grpc_code"] == 14
+    assert connect(server, 0).post("/v3/kv/range", {"key": encode_base64(b"a")})[1]["kvs"][0][
+        "value"
+    ] == encode_base64(b"2")
     server.cluster.heal()
-    told = watching.next()
-    assert told is not None
-    assert told["result"]["events"][0]["kv"]["value"] == text(b"2")
+    watch_response = watcher.next_object()
+    assert watch_response is not None
+    assert watch_response["result"]["events"][0]["kv"]["value"] == encode_base64(b"2")
 
 
-def test_four_members_of_seven_that_are_down_leave_no_quorum(server: EtcdServer) -> None:
+def test_four_of_seven_members_down_leave_no_quorum(server: EtcdServer) -> None:
     for number in range(4):
         server.cluster.set_availability(number, Availability.DOWN)
-    assert client(server, 6).ask("/v3/kv/range", {"key": text(b"a")})[0] == 503
+    assert connect(server, 6).post("/v3/kv/range", {"key": encode_base64(b"a")})[0] == 503
     server.cluster.set_availability(0, Availability.UP)
-    assert client(server, 6).ask("/v3/kv/range", {"key": text(b"a")})[0] == 200
+    assert connect(server, 6).post("/v3/kv/range", {"key": encode_base64(b"a")})[0] == 200
 
 
-def test_a_restored_backup_has_a_lower_revision_and_may_have_another_id(server: EtcdServer) -> None:
+def test_a_restored_backup_has_a_lower_revision_and_may_have_another_cluster_id(server: EtcdServer) -> None:
     server.cluster.put(b"a", b"1")
     backup = server.cluster.store.copy()
     server.cluster.put(b"a", b"2")
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
-    _, before = client(server).ask("/v3/kv/range", {"key": text(b"a")})
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
+    _, before = connect(server).post("/v3/kv/range", {"key": encode_base64(b"a")})
     server.restore(backup, cluster_id=7)
-    assert watching.next() is None
-    _, after = client(server).ask("/v3/kv/range", {"key": text(b"a")})
+    assert watcher.next_object() is None
+    _, after = connect(server).post("/v3/kv/range", {"key": encode_base64(b"a")})
     assert (before["header"]["revision"], after["header"]["revision"]) == ("3", "2")
     assert after["header"]["cluster_id"] == "7"
-    assert after["kvs"][0]["value"] == text(b"1")
+    assert after["kvs"][0]["value"] == encode_base64(b"1")
 
 
-def test_a_member_may_tell_another_cluster_or_revision(server: EtcdServer) -> None:
+def test_a_member_may_report_another_cluster_id_or_revision(server: EtcdServer) -> None:
     server.cluster.members[0].cluster_id = 9
     server.cluster.members[0].reported_revision = 1_000_000
-    _, answer = client(server).ask("/v3/kv/range", {"key": text(b"a")})
-    assert (answer["header"]["cluster_id"], answer["header"]["revision"]) == ("9", "1000000")
+    _, response = connect(server).post("/v3/kv/range", {"key": encode_base64(b"a")})
+    assert (response["header"]["cluster_id"], response["header"]["revision"]) == ("9", "1000000")
 
 
-def test_watches_may_end_or_fall_silent(server: EtcdServer) -> None:
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
+def test_watches_may_end_or_stall(server: EtcdServer) -> None:
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
     server.members[0].end_watches()
-    assert watching.next() is None
+    assert watcher.next_object() is None
     server.cluster.members[0].watches_stalled = True
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
     server.cluster.put(b"a", b"1")
-    assert watching.silent()
-    assert client(server).ask("/v3/kv/range", {"key": text(b"a")})[0] == 200
+    assert watcher.receives_nothing()
+    assert connect(server).post("/v3/kv/range", {"key": encode_base64(b"a")})[0] == 200
 
 
-def test_a_client_that_leaves_is_let_go(server: EtcdServer) -> None:
-    watching = client(server)
-    watching.watch(b"a")
-    assert watching.next() is not None
-    watching.socket.close()
-    with gevent.Timeout(WAIT):
+def test_the_watch_of_a_disconnected_client_is_released(server: EtcdServer) -> None:
+    watcher = connect(server)
+    watcher.watch(b"a")
+    assert watcher.next_object() is not None
+    watcher.socket.close()
+    with gevent.Timeout(TIMEOUT_S):
         while server.members[0].watch_count:
             gevent.sleep(0.001)
