--- a/irisstack/lab/standins/__init__.py
+++ b/irisstack/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, one for each, written from the published interface of the system."""
+"""Stand-ins for external systems, each implemented from the published interface of the system."""
--- a/irisstack/lab/standins/etcd.py
+++ b/irisstack/lab/standins/etcd.py
@@ -1,7 +1,8 @@
-"""A key-value store with revisions, as etcd's v3 interface publishes it; no I/O, no clock.
+"""An in-memory key-value store with the semantics of etcd's v3 API; it performs no I/O and reads no clock.
 
-Every write makes a new revision of the whole store. Old revisions can be read and watched until a compaction
-drops them. Messages are named as in etcd's `rpc.proto`; `etcd_json` has them as the gateway's bytes.
+Every write creates a new revision of the whole store. Old revisions can be read and watched until a
+compaction drops them. Requests and responses are named as in etcd's `rpc.proto`; `etcd_json` converts them
+from and to JSON.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -10,15 +11,15 @@
 from enum import IntEnum
 
 UNBOUNDED_END = b"\0"
-"""As a range's end: every key from the range's start on."""
+"""The range end that stands for no upper bound: all keys from the start of the range on."""
 FIRST_REVISION = 1
-"""The revision of a store that was never written to."""
+"""The revision of an empty store, before the first write."""
 WATCH_BATCH_REVISIONS = 1000
-"""Revisions at most in one response of a watch that catches up, as in etcd."""
+"""Maximum number of revisions in one response to a watch that is catching up, as in etcd."""
 
 
 class Code(IntEnum):
-    """The codes of gRPC that the gateway's errors carry."""
+    """The gRPC status codes used in the gateway's error responses."""
 
     INVALID_ARGUMENT = 3
     OUT_OF_RANGE = 11
@@ -27,7 +28,7 @@
 
 
 class EtcdError(Exception):
-    """A request that etcd refuses."""
+    """A request that etcd rejects."""
 
     def __init__(self, code: Code, message: str) -> None:
         super().__init__(message)
@@ -36,28 +37,28 @@
 
 
 class InvalidArgumentError(EtcdError):
-    """The request itself is wrong."""
+    """The request is malformed or contradicts itself."""
 
     def __init__(self, message: str) -> None:
         super().__init__(Code.INVALID_ARGUMENT, message)
 
 
 class CompactedError(EtcdError):
-    """The revision asked for is dropped."""
+    """The requested revision has been compacted."""
 
     def __init__(self) -> None:
         super().__init__(Code.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted")
 
 
 class FutureRevisionError(EtcdError):
-    """The revision asked for is not there yet."""
+    """The requested revision does not exist yet."""
 
     def __init__(self) -> None:
         super().__init__(Code.OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision")
 
 
 class NoLeaderError(EtcdError):
-    """The member belongs to no quorum."""
+    """The member has no quorum."""
 
     def __init__(self) -> None:
         super().__init__(Code.UNAVAILABLE, "etcdserver: no leader")
@@ -98,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyValue:
-    """One version of a key; `version` 0 marks a deletion, as in a watch's event."""
+    """One version of a key; `version` 0 marks a tombstone, as in a DELETE event."""
 
     key: bytes
     value: bytes
@@ -122,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """What one revision changed."""
+    """All events of one revision."""
 
     revision: int
     events: tuple[Event, ...]
@@ -130,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RangeRequest:
-    """Keys from `key` up to, not including, `range_end`; without an end just `key`."""
+    """Reads the keys from `key` up to but not including `range_end`; only `key` if `range_end` is empty."""
 
     key: bytes
     range_end: bytes = b""
@@ -159,7 +160,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Compare:
-    """A condition of a transaction on every key of a range."""
+    """A condition of a transaction; it has to hold for every key of the range."""
 
     key: bytes
     range_end: bytes
@@ -170,7 +171,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TxnRequest:
-    """Operations that are carried out together: `success` where every comparison holds, else `failure`."""
+    """Executes `success` atomically if every comparison holds, else `failure`."""
 
     compare: tuple[Compare, ...]
     success: "tuple[Operation, ...]"
@@ -184,7 +185,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchRequest:
-    """Changes of a range from a revision on; without one from the next change."""
+    """Watches a range from `start_revision` on, or from the next change if it is 0."""
 
     key: bytes
     range_end: bytes = b""
@@ -219,7 +220,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompactionResponse:
-    """A compaction is done."""
+    """Acknowledges a compaction."""
 
 
 Operation = RangeRequest | PutRequest | DeleteRangeRequest | TxnRequest
@@ -229,14 +230,14 @@
 
 
 def in_range(key: bytes, start: bytes, end: bytes) -> bool:
-    """Whether a key lies in a range as etcd writes it."""
+    """Whether a key lies in a range; `end` follows etcd's `range_end`."""
     if not end:
         return key == start
     return key >= start and (end == UNBOUNDED_END or key < end)
 
 
 class Store:
-    """All revisions of all keys that no compaction has dropped."""
+    """The versions of all keys that no compaction has dropped."""
 
     def __init__(self) -> None:
         self.revision = FIRST_REVISION
@@ -246,7 +247,7 @@
         self._changes: list[Change] = []
 
     def copy(self) -> "Store":
-        """The store as it is now: a backup, or what a member that is cut off goes on with."""
+        """A snapshot of the store, used as a backup or as the data of a member that loses its quorum."""
         copied = Store()
         copied.revision, copied.compact_revision = self.revision, self.compact_revision
         copied._sorted_keys = list(self._sorted_keys)
@@ -255,7 +256,7 @@
         return copied
 
     def execute(self, request: Request) -> Response:
-        """Carry out one request; raises `EtcdError` and changes nothing if it is refused."""
+        """Execute one request; raises `EtcdError` and changes nothing if the request is rejected."""
         if isinstance(request, CompactionRequest):
             return self._compact(request.revision)
         self._validate(request, set())
@@ -267,7 +268,10 @@
         return response
 
     def changes_from(self, revision: int) -> Sequence[Change]:
-        """The changes of that revision and later ones, a batch at most; raises `CompactedError`."""
+        """The changes from `revision` on, at most `WATCH_BATCH_REVISIONS`.
+
+        Raises `CompactedError` if the revision has been compacted.
+        """
         if revision < self.compact_revision:
             raise CompactedError
         first = bisect_left(self._changes, revision, key=lambda change: change.revision)
@@ -276,7 +280,7 @@
     # ---- requests ----
 
     def _validate(self, request: Operation, written_keys: set[bytes]) -> None:
-        """Refuse what cannot be carried out before anything is changed."""
+        """Raise `EtcdError` for an operation that cannot be executed, before anything changes."""
         match request:
             case RangeRequest(revision=revision):
                 if revision > self.revision:
@@ -389,7 +393,7 @@
         return None if versions is None or versions[-1].deleted else versions[-1]
 
     def _iter_range(self, start: bytes, end: bytes, revision: int) -> Iterator[KeyValue]:
-        """The keys of a range as they stood at a revision; 0 means now."""
+        """The keys of a range at `revision`; 0 stands for the latest revision."""
         for key in self._keys_in(start, end):
             versions = self._versions[key]
             count = len(versions) if not revision else _count_versions_up_to(versions, revision)
@@ -405,7 +409,7 @@
 
 
 def _count_versions_up_to(versions: Sequence[KeyValue], revision: int) -> int:
-    """How many versions of a key were written up to a revision."""
+    """The number of versions of a key with a revision not above `revision`."""
     return bisect_right(versions, revision, key=lambda kv: kv.mod_revision)
 
 
@@ -438,7 +442,7 @@
 def _values_satisfy(left: int | bytes, right: int | bytes, result: CompareResult) -> bool:
     if isinstance(left, bytes) != isinstance(right, bytes):
         raise InvalidArgumentError("etcdserver: a comparison of unlike values")
-    order = (left > right) - (left < right)  # type: ignore[operator]  # alike, as the line above has it
+    order = (left > right) - (left < right)  # type: ignore[operator]  # both are bytes or both int: checked above
     match result:
         case CompareResult.EQUAL:
             return order == 0
@@ -452,7 +456,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchResponse:
-    """One message of a watch; `revision` is that of the header, 0 where etcd leaves it out."""
+    """One response of a watch; `revision` is the header's revision, 0 where etcd omits it."""
 
     revision: int
     created: bool = False
@@ -463,7 +467,7 @@
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """A cursor through a store's changes; the caller decides when to read on."""
+    """A cursor over the changes of a store; the caller decides when to read the next response."""
 
     request: WatchRequest
     next_revision: int
@@ -471,14 +475,15 @@
 
     @classmethod
     def create(cls, request: WatchRequest, store: Store) -> tuple["Watch", WatchResponse]:
-        """A new watch, and the response that says so."""
+        """Create a watch; returns it with the response that confirms its creation."""
         next_revision = request.start_revision or store.revision + 1
         return cls(request, next_revision), WatchResponse(store.revision, created=True)
 
     def read(self, store: Store) -> WatchResponse | None:
-        """The next message, or `None` if there is nothing to say.
+        """The next response, or `None` if there are no new events.
 
-        A compaction past the cursor ends the watch. As in etcd, the header of that message has no revision.
+        A compaction beyond the cursor cancels the watch. As in etcd, the header of that response has no
+        revision.
         """
         if self.canceled:
             return None
@@ -500,7 +505,7 @@
         return None
 
     def progress(self, store: Store) -> WatchResponse | None:
-        """A progress notification: all changes up to its revision were sent; `None` if the watch lags."""
+        """A progress notification: all events up to its revision were sent; `None` if the watch is behind."""
         if self.canceled or self.next_revision <= store.revision:
             return None
         return WatchResponse(store.revision)
--- a/irisstack/lab/standins/etcd_cluster.py
+++ b/irisstack/lab/standins/etcd_cluster.py
@@ -1,7 +1,7 @@
-"""A cluster of members over one store, with the faults that tests and plays bring about; no I/O, no clock.
+"""A simulated etcd cluster with fault injection for tests and experiments; no I/O, no clock.
 
-Replication takes no time: all members with a quorum share one store. One without a quorum goes on with a copy
-as it was at that moment, which it serves to serializable reads and watches, as etcd does.
+Replication is instantaneous: all members with a quorum share one store. A member that loses its quorum keeps
+a snapshot of the store from that moment and serves serializable reads and watches from it, as etcd does.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -15,30 +15,30 @@
 
 
 class Availability(Enum):
-    """What a client that connects to a member meets."""
+    """How a member reacts to clients."""
 
     UP = auto()
     DOWN = auto()
-    """Connections are refused, those that there were are reset."""
+    """New connections are refused and open ones are reset."""
     UNRESPONSIVE = auto()
-    """Connections are taken, and nothing is ever answered: the process hangs."""
+    """Connections are accepted but no request is answered, as by a process that hangs."""
     TRICKLING = auto()
-    """All is answered, a few bytes at a time."""
+    """Requests are answered, but only a few bytes at a time."""
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One member: its place in the cluster and what is wrong with it."""
+    """One member of the cluster and the faults injected into it."""
 
     number: int
     cluster: "Cluster"
     availability: Availability = Availability.UP
     watches_stalled: bool = False
-    """Watches are taken and never say anything."""
+    """Watches are created but send no events and no progress notifications."""
     cluster_id: int | None = None
-    """The id that the headers report in place of the cluster's."""
+    """Overrides the cluster id in response headers."""
     reported_revision: int | None = None
-    """A revision that the headers report in place of the store's."""
+    """Overrides the store's revision in response headers."""
     _isolated_store: etcd.Store | None = field(default=None)
     _encoded_watch: tuple[tuple[etcd.WatchResponse, bool, etcd_json.Header], bytes] | None = field(
         default=None
@@ -48,16 +48,16 @@
 
     @property
     def has_quorum(self) -> bool:
-        """Whether this member reaches a majority of the cluster."""
+        """Whether this member belongs to a majority of the cluster."""
         return self._isolated_store is None
 
     @property
     def store(self) -> etcd.Store:
-        """What this member knows."""
+        """The store this member serves: the cluster's, or its own snapshot while it has no quorum."""
         return self.cluster.store if self._isolated_store is None else self._isolated_store
 
     def header(self, revision: int) -> etcd_json.Header:
-        """The header of an answer at that revision of the store."""
+        """The response header for a revision of the store."""
         cluster = self.cluster
         return etcd_json.Header(
             cluster.cluster_id if self.cluster_id is None else self.cluster_id,
@@ -67,7 +67,7 @@
         )
 
     def execute(self, request: etcd.Request) -> etcd.Response:
-        """Carry out a request; raises `EtcdError`."""
+        """Execute a request; raises `EtcdError` if it is rejected."""
         serializable = isinstance(request, etcd.RangeRequest) and request.serializable
         if not self.has_quorum and not serializable:
             raise etcd.NoLeaderError
@@ -78,7 +78,7 @@
         return response
 
     def handle_request(self, path: str, body: bytes) -> tuple[int, bytes]:
-        """Status and body of the answer to a request that is no watch."""
+        """Status and body of the response to any request other than a watch."""
         cached = self._valid_range_cache()
         if path == etcd_json.RANGE_PATH and body in cached:
             return 200, cached[body]
@@ -95,7 +95,10 @@
         return 200, response_body
 
     def _valid_range_cache(self) -> dict[bytes, bytes]:
-        """Answers by body, as long as nothing has changed: many nodes ask the same."""
+        """Cached range responses by request body, since many nodes send the same request.
+
+        The cache is cleared when the store or the response header has changed.
+        """
         cache_key = id(self.store), self.store.compact_revision, self.header(self.store.revision)
         if cache_key != self._range_cache_key:
             self._range_cache_key = cache_key
@@ -103,24 +106,24 @@
         return self._range_cache
 
     def encode_watch(self, response: etcd.WatchResponse, *, prev_kv: bool = False) -> bytes:
-        """One object of a watch's stream; cached, since many watches send the same."""
+        """Encode one object of a watch stream; the last one is cached, since many watches send the same."""
         key = response, prev_kv, self.header(response.revision)
         if self._encoded_watch is None or self._encoded_watch[0] != key:
             self._encoded_watch = key, etcd_json.encode_watch(key[2], response, prev_kv=prev_kv)
         return self._encoded_watch[1]
 
     def lose_quorum(self) -> None:
-        """Go on with a copy of the store as it is now."""
+        """Continue with a snapshot of the store."""
         if self._isolated_store is None:
             self._isolated_store = self.cluster.store.copy()
 
     def regain_quorum(self) -> None:
-        """Share the cluster's store again."""
+        """Serve the cluster's store again."""
         self._isolated_store = None
 
 
 class Cluster:
-    """Members over one store."""
+    """The members, their store and the network between them."""
 
     def __init__(self, size: int = 1, cluster_id: int = CLUSTER_ID) -> None:
         self.cluster_id = cluster_id
@@ -128,15 +131,14 @@
         self.store = etcd.Store()
         self.members = tuple(Member(number, self) for number in range(size))
         self.listeners: list[Callable[[], None]] = []
-        """Called after every change of the store or of what members can reach."""
+        """Called after every change of the store, of a member's availability or of the network."""
         self._groups: tuple[frozenset[int], ...] = (frozenset(range(size)),)
 
     def notify_listeners(self) -> None:
-        """Call all listeners."""
         for listener in self.listeners:
             listener()
 
-    # ---- writes, made by a client of a member that has a quorum; `NoLeaderError` if none has one ----
+    # ---- writes, executed by a member that has a quorum; `NoLeaderError` if there is none ----
 
     def put(self, key: bytes, value: bytes) -> int:
         """Write a key; returns the revision."""
@@ -152,7 +154,7 @@
         return self._execute(etcd.TxnRequest((), puts, ()))
 
     def compact(self, revision: int) -> None:
-        """Drop what lies before a revision."""
+        """Drop the history before a revision."""
         self._execute(etcd.CompactionRequest(revision))
 
     def _execute(self, request: etcd.Request) -> int:
@@ -165,25 +167,25 @@
     # ---- faults ----
 
     def set_availability(self, number: int, availability: Availability) -> None:
-        """Change what clients of a member meet; a member that is down or hangs counts to no quorum."""
+        """Set a member's availability; one that is down or unresponsive does not count towards a quorum."""
         self.members[number].availability = availability
         self._update_quorums()
 
     def partition(self, *groups: Collection[int]) -> None:
-        """Cut the network between groups of members; members that no group names are alone."""
+        """Partition the network into groups of members; each member in no group is isolated."""
         named = tuple(frozenset(group) for group in groups)
         isolated = set(range(len(self.members))).difference(*named)
         self._groups = named + tuple(frozenset({number}) for number in isolated)
         self._update_quorums()
 
     def heal(self) -> None:
-        """All members reach one another again."""
+        """Remove all network partitions."""
         self.partition(range(len(self.members)))
 
     def restore(self, backup: etcd.Store, cluster_id: int | None = None) -> None:
-        """Start over from a backup: the revision may be lower than what clients have seen.
+        """Restore the store from a backup; its revision may be lower than revisions that clients have seen.
 
-        `etcdctl snapshot restore` makes a cluster with another id; other means of restoring keep it.
+        `etcdctl snapshot restore` creates a cluster with another id; other ways to restore keep the id.
         """
         self.store = backup.copy()
         if cluster_id is not None:
@@ -193,7 +195,7 @@
         self._update_quorums()
 
     def _update_quorums(self) -> None:
-        """Find out which members have a quorum; a copy that is no longer needed is dropped."""
+        """Recompute which members have a quorum; members that regain it drop their snapshot."""
         majority = len(self.members) // 2 + 1
         for group in self._groups:
             available = [
--- a/irisstack/lab/standins/etcd_http.py
+++ b/irisstack/lab/standins/etcd_http.py
@@ -1,4 +1,4 @@
-"""The gateway's answers as HTTP bytes, for members on sockets and members in virtual time alike."""
+"""HTTP responses of the gateway as bytes, for members on sockets and for members in virtual time."""
 
 from irisstack.lab.sockets import http
 from irisstack.lab.standins import etcd, etcd_json
@@ -11,7 +11,7 @@
 
 
 def handle_request(member: Member, method: str, path: str, body: bytes) -> bytes:
-    """The whole answer to a request that is no watch."""
+    """The complete HTTP response to any request other than a watch."""
     if method != "POST":
         return http.reply(METHOD_NOT_ALLOWED)
     status, response_body = member.handle_request(path, body)
@@ -19,11 +19,11 @@
 
 
 def error_response(error: etcd.EtcdError) -> bytes:
-    """The whole answer to a request that is refused before a stream begins."""
+    """The complete HTTP response to a request that is rejected before a stream begins."""
     status, body = etcd_json.encode_error(error)
     return http.reply(status, JSON_HEADERS, body)
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One piece of a stream's body."""
+    """Encode one chunk of a chunked HTTP body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/irisstack/lab/standins/etcd_json.py
+++ b/irisstack/lab/standins/etcd_json.py
@@ -1,7 +1,7 @@
-"""The bytes of etcd's v3 JSON gateway: bodies of requests into messages, messages into bodies.
+"""The JSON encoding of etcd's v3 gateway: decodes request bodies and encodes response bodies.
 
-As in the gateway: names as in `rpc.proto`, bytes in base64, 64-bit numbers as strings, default values left
-out, a field that is not known refused.
+As in the gateway, fields are named as in `rpc.proto`, bytes are base64, 64-bit integers are strings, default
+values are omitted, and unknown fields are rejected.
 """
 
 import base64
@@ -25,13 +25,13 @@
     etcd.Code.UNIMPLEMENTED: 501,
     etcd.Code.UNAVAILABLE: 503,
 }
-"""What the gateway makes of a gRPC code."""
+"""The HTTP status to which the gateway maps a gRPC code."""
 HTTP_REASON = {400: "Bad Request", 501: "Not Implemented", 503: "Service Unavailable"}
 
 
 @dataclass(slots=True, frozen=True)
 class Header:
-    """Who answers, and the revision of its store."""
+    """The header of a response: the member that answers, and the revision of its store."""
 
     cluster_id: int
     member_id: int
@@ -53,7 +53,7 @@
 
 
 class _FieldReader:
-    """The fields of one JSON object, each taken once; those left over are unknown."""
+    """Reads the fields of one JSON object, each once; the fields that remain are unknown."""
 
     def __init__(self, message: str, raw: object) -> None:
         if not isinstance(raw, dict):
@@ -106,7 +106,7 @@
         return self._remaining.pop(name)
 
     def ignore(self, *names: str) -> None:
-        """Fields that change nothing here."""
+        """Drop fields that the stand-in accepts but does not implement."""
         for name in names:
             self._remaining.pop(name, None)
 
@@ -216,13 +216,13 @@
 
 
 def decode_request(path: str, body: bytes) -> etcd.Request | None:
-    """The message of a request's path and body; `None` for a path that the gateway has not."""
+    """Decode a request by its path and body; `None` for a path that the gateway does not serve."""
     decode = _REQUEST_DECODERS.get(path)
     return None if decode is None else decode(_parse_json(body))
 
 
 def decode_watch(body: bytes) -> WatchStreamRequest:
-    """The message that a body sends into a watch's stream."""
+    """Decode a request on a watch stream."""
     fields = _FieldReader("WatchRequest", _parse_json(body))
     request: WatchStreamRequest
     if fields.has("create_request"):
@@ -265,12 +265,12 @@
 
 
 def encode_response(header: Header, response: etcd.Response) -> bytes:
-    """The body of an answer with status 200."""
+    """Encode the body of a response with status 200."""
     return _encode_json({"header": _header_fields(header), **_response_fields(response)})
 
 
 def encode_watch(header: Header, response: etcd.WatchResponse, *, prev_kv: bool = False) -> bytes:
-    """One object of a watch's stream, with the line feed that follows it."""
+    """Encode one object of a watch stream, with its trailing line feed."""
     events = [_event_fields(event, prev_kv=prev_kv) for event in response.events]
     result = {
         "header": _header_fields(header),
@@ -283,13 +283,13 @@
 
 
 def encode_error(error: etcd.EtcdError) -> tuple[int, bytes]:
-    """Status and body of an answer to a request that was refused."""
+    """Status and body of the response to a rejected request."""
     body = {"error": error.message, "code": int(error.code), "message": error.message}
     return HTTP_STATUS_BY_CODE[error.code], _encode_json(body)
 
 
 def encode_stream_error(error: etcd.EtcdError) -> bytes:
-    """The object that ends a stream which is under way."""
+    """Encode the error object that ends an open stream."""
     status = HTTP_STATUS_BY_CODE[error.code]
     details = {
         "grpc_code": int(error.code),
@@ -366,7 +366,7 @@
 
 
 def _encode_int64(value: int) -> str:
-    """A 64-bit number; empty for 0, which is left out."""
+    """Encode a 64-bit integer as a string; 0 becomes empty, so that the field is omitted."""
     return str(value) if value else ""
 
 
--- a/irisstack/lab/standins/etcd_server.py
+++ b/irisstack/lab/standins/etcd_server.py
@@ -1,7 +1,7 @@
-"""A cluster's members on loopback, each with a listener that speaks etcd's v3 JSON gateway.
+"""Serves the members of a simulated etcd cluster on loopback, each on a listener with etcd's v3 JSON gateway.
 
-All members run on the caller's gevent hub. Tests bring about faults through the `Cluster` (a member that is
-down or hangs, a cut network) and through the server (a restored backup, streams that end, bytes in pieces).
+All members run on the caller's gevent hub. Tests inject faults through the `Cluster` (a member that is down
+or unresponsive, a network partition) and through the server (a restored backup, ended watches, split writes).
 """
 
 import time
@@ -22,16 +22,17 @@
 HOST = "127.0.0.1"
 BACKLOG = 1024
 PROGRESS_INTERVAL_S = 600.0
-"""Seconds of silence until a progress notification, where one was asked for; etcd's default."""
+"""Seconds without events until a progress notification, if the watch requested one; etcd's default."""
 TRICKLE_BYTES = 16
+"""Maximum size of one write of a trickling member, in bytes."""
 TRICKLE_INTERVAL_S = 0.1
-"""A member that trickles sends so many bytes at a time, so many seconds apart."""
+"""Pause between two writes of a trickling member, in seconds."""
 REQUIRE_LEADER_HEADER = "grpc-metadata-hasleader"
-"""The header by which a client asks to be refused when the member has no leader."""
+"""The header with which a client requests an error when the member has no leader."""
 
 
 class Connection:
-    """One connection of a client to a member."""
+    """One client connection to a member."""
 
     def __init__(self, server: "MemberServer", sock: socket.socket) -> None:
         self._server = server
@@ -39,7 +40,7 @@
         self._watch_greenlet: gevent.Greenlet[..., None] | None = None
 
     def serve(self) -> None:
-        """Answer requests until the client leaves or the member ends the connection."""
+        """Answer requests until the client or the member closes the connection."""
         reader = http.RequestReader()
         try:
             while data := self._socket.recv(65536):
@@ -54,12 +55,12 @@
             self._socket.close()
 
     def reset(self) -> None:
-        """End the connection at once; whoever reads from it wakes."""
+        """Shut the connection down at once, which also wakes a greenlet that reads from it."""
         with suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
     def end_watch(self) -> None:
-        """End the watch that is held, as a server does that shuts down in good order."""
+        """End the open watch as a server does in a graceful shutdown."""
         if self._watch_greenlet is not None:
             self._watch_greenlet.kill()
             with suppress(OSError):
@@ -68,11 +69,11 @@
 
     @property
     def has_watch(self) -> bool:
-        """Whether a watch is held on this connection."""
+        """Whether a watch is open on this connection."""
         return self._watch_greenlet is not None and not self._watch_greenlet.dead
 
     def _handle_request(self, request: http.Request) -> bool:
-        """Answer one request; returns whether the connection goes on."""
+        """Answer one request; returns whether the connection stays open."""
         server = self._server
         server.traffic.requests.add(server.now())
         if request.target == etcd_json.WATCH_PATH:
@@ -83,7 +84,7 @@
         return request.headers.get("connection", "").lower() != "close"
 
     def _serve_watch(self, request: http.Request) -> None:
-        """Hold one watch until the connection ends."""
+        """Serve one watch until the connection ends."""
         server = self._server
         server.wait_while_unresponsive()
         try:
@@ -92,7 +93,7 @@
             self._send_and_reset(etcd_http.error_response(error))
             return
         if not isinstance(watch_request, etcd.WatchRequest):
-            return  # cancels and progress refer to another stream, so nothing answers them
+            return  # cancel and progress requests refer to another stream and get no response
         with suppress(OSError):
             self._send_changes(
                 watch_request, needs_leader=request.headers.get(REQUIRE_LEADER_HEADER) == "true"
@@ -126,7 +127,7 @@
         self.reset()
 
     def _send(self, data: bytes) -> None:
-        """Write bytes, in pieces if `max_write_bytes` is set or the member trickles."""
+        """Write bytes, split into several writes if `max_write_bytes` is set or the member is trickling."""
         server = self._server
         write_bytes, pause_s = server.max_write_bytes or len(data), 0.0
         if server.member.availability is Availability.TRICKLING:
@@ -140,13 +141,13 @@
 
 
 class MemberServer:
-    """One member's listener, on the same port whenever it is up."""
+    """The listener of one member; it keeps its port when the member goes down and comes back."""
 
     def __init__(self, member: Member, progress_interval_s: float) -> None:
         self.member = member
         self.progress_interval_s = progress_interval_s
         self.max_write_bytes: int | None = None
-        """Bytes at most in one write: a frame or a head may be cut anywhere."""
+        """Maximum size of one write in bytes; headers and frames may be split anywhere. `None`: no limit."""
         self.traffic = Traffic()
         self.changed = Event()
         self._connections: set[Connection] = set()
@@ -161,11 +162,11 @@
 
     @property
     def watch_count(self) -> int:
-        """How many watches are held now."""
+        """The number of open watches."""
         return sum(connection.has_watch for connection in self._connections)
 
     def now(self) -> float:
-        """Seconds since the server began."""
+        """Seconds since the server started."""
         return time.monotonic() - self._started_at
 
     def wait_while_unresponsive(self) -> None:
@@ -173,7 +174,7 @@
             self.changed.wait()
 
     def on_cluster_change(self) -> None:
-        """Something changed in the cluster: listen or refuse, and wake the watches."""
+        """Start or stop listening after a change in the cluster, and wake the watches."""
         if self.member.availability is Availability.DOWN:
             self.stop()
         else:
@@ -182,17 +183,17 @@
         changed.set()
 
     def end_watches(self) -> None:
-        """End all watches in good order."""
+        """End all watches as in a graceful shutdown."""
         for connection in list(self._connections):
             connection.end_watch()
 
     def reset_connections(self) -> None:
-        """End all connections at once."""
+        """Shut all connections down at once."""
         for connection in list(self._connections):
             connection.reset()
 
     def stop(self) -> None:
-        """Refuse connections and end those there are."""
+        """Stop listening and shut all connections down."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -221,7 +222,7 @@
 
 
 class EtcdServer:
-    """A cluster on loopback; a context manager that ends all members."""
+    """A cluster on loopback; as a context manager it stops all members on exit."""
 
     def __init__(self, size: int = 1, progress_interval_s: float = PROGRESS_INTERVAL_S) -> None:
         self.cluster = Cluster(size)
@@ -234,7 +235,7 @@
         return [member.address for member in self.members]
 
     def restore(self, backup: etcd.Store, cluster_id: int | None = None) -> None:
-        """Start all members over from a backup, which ends all connections."""
+        """Restore all members from a backup and reset all connections."""
         self.cluster.restore(backup, cluster_id)
         for member in self.members:
             member.reset_connections()
--- a/tests/lab/standins/test_etcd.py
+++ b/tests/lab/standins/test_etcd.py
@@ -1,4 +1,4 @@
-"""The store of etcd's stand-in: revisions, ranges, transactions, compaction and watches, as published."""
+"""The store of the etcd stand-in: revisions, ranges, transactions, compaction and watches as in etcd v3."""
 
 import pytest
 from hypothesis import given
@@ -218,7 +218,7 @@
 def test_reads_and_watch_replay_agree_after_any_writes_and_compaction(
     writes: list[PutRequest | DeleteRangeRequest], compact_at: int, start_at: int
 ) -> None:
-    """The state at a revision, with all that a watch tells from the next on, is the state at the end."""
+    """Replaying the events of a watch on the state at its start gives the latest state."""
     store = Store()
     state_by_revision = {store.revision: read_all(store)}
     for write in writes:
--- a/tests/lab/standins/test_etcd_server.py
+++ b/tests/lab/standins/test_etcd_server.py
@@ -1,4 +1,4 @@
-"""The cluster's members on loopback: the gateway's bytes, and each fault that a test may bring about."""
+"""The members of the etcd stand-in on loopback: the gateway's JSON, and each fault that can be injected."""
 
 import base64
 import json
@@ -15,9 +15,9 @@
 from irisstack.lab.standins.etcd_server import EtcdServer
 
 TIMEOUT_S = 5.0
-"""Seconds in which what has to come comes, on a machine of any speed."""
+"""Timeout in seconds for expected responses, long enough for a slow machine."""
 QUIET_PERIOD_S = 0.1
-"""Seconds in which nothing comes where nothing has to."""
+"""Seconds to wait in a check that no response arrives."""
 
 Json = dict[str, Any]
 
@@ -27,7 +27,7 @@
 
 
 class GatewayClient:
-    """One connection to a member."""
+    """A client with one connection to a member."""
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
@@ -38,7 +38,7 @@
         self.socket.sendall(http.request("POST", path, "etcd", headers or {}, json.dumps(body).encode()))
 
     def post(self, path: str, body: Json) -> tuple[int, Json]:
-        """One request, and its answer's status and object."""
+        """Send a request; returns the status and the decoded body of the response."""
         self.send(path, body)
         reader = http.ReplyReader()
         while (reply := reader.feed(self.socket.recv(65536))) is None:
@@ -50,7 +50,7 @@
         self.send("/v3/watch", {"create_request": create}, headers)
 
     def next_object(self) -> Json | None:
-        """The next object of a watch; `None` at its end."""
+        """The next object of a watch stream; `None` at its end."""
         while b"\n" not in (body := self._first_chunk()):
             data = self.socket.recv(65536)
             if not data:
@@ -66,7 +66,7 @@
         return decoded
 
     def _first_chunk(self) -> bytes:
-        """The first chunk, if it is here whole."""
+        """The payload of the first chunk in the buffer; empty if the chunk is incomplete."""
         buffer = self._buffer
         if buffer.startswith(b"HTTP/"):
             head, separator, buffer = buffer.partition(b"\r\n\r\n")
@@ -78,7 +78,7 @@
         return rest[:length] if separator and len(rest) >= length + 2 else b""
 
     def receives_nothing(self) -> bool:
-        """Whether nothing comes for a while."""
+        """Whether nothing arrives within `QUIET_PERIOD_S`."""
         self.socket.settimeout(QUIET_PERIOD_S)
         try:
             self.socket.recv(1)
