--- a/irisstack/lab/standins/etcd.py
+++ b/irisstack/lab/standins/etcd.py
@@ -442,7 +442,7 @@
 def _values_satisfy(left: int | bytes, right: int | bytes, result: CompareResult) -> bool:
     if isinstance(left, bytes) != isinstance(right, bytes):
         raise InvalidArgumentError("etcdserver: a comparison of unlike values")
-    order = (left > right) - (left < right)  # type: ignore[operator]  # both are bytes or both int: checked above
+    order = (left > right) - (left < right)  # type: ignore[operator]  # both bytes or both int, as checked above
     match result:
         case CompareResult.EQUAL:
             return order == 0
--- a/irisstack/lab/standins/etcd_cluster.py
+++ b/irisstack/lab/standins/etcd_cluster.py
@@ -12,6 +12,7 @@
 
 CLUSTER_ID = 0x6B1C_51E7_0A11_D0C5
 MEMBER_ID_STEP = 0x0101_0101_0101_0101
+"""Difference between the ids of consecutive members."""
 
 
 class Availability(Enum):
@@ -133,6 +134,7 @@
         self.listeners: list[Callable[[], None]] = []
         """Called after every change of the store, of a member's availability or of the network."""
         self._groups: tuple[frozenset[int], ...] = (frozenset(range(size)),)
+        """Numbers of the members that reach one another; more than one group means a network partition."""
 
     def notify_listeners(self) -> None:
         for listener in self.listeners:
--- a/irisstack/lab/standins/etcd_server.py
+++ b/irisstack/lab/standins/etcd_server.py
@@ -150,6 +150,7 @@
         """Maximum size of one write in bytes; headers and frames may be split anywhere. `None`: no limit."""
         self.traffic = Traffic()
         self.changed = Event()
+        """Set and replaced by a new event on every change of the cluster."""
         self._connections: set[Connection] = set()
         self._server: StreamServer | None = None
         self._bound_address = (HOST, 0)
