--- a/irisstack/node/live_settings.py
+++ b/irisstack/node/live_settings.py
@@ -1,6 +1,6 @@
-"""Settings that change while the node runs: what is in force, and whether what is proposed may follow it.
+"""Settings that change while the node runs: those in force, and the check of proposed ones.
 
-Loaded only where the configuration names `dynamic_settings`. A document is checked here as a whole; the
+Imported only if the configuration has `dynamic_settings`. A settings document is checked here as a whole; the
 service and the decider put it in force in all parts of the node.
 """
 
@@ -22,75 +22,79 @@
 
 
 class LiveSettings:
-    """The settings in force beside the node's own file, which the stream's items are laid over."""
+    """The settings in force, and the node's own file, which the items of the settings stream override."""
 
     def __init__(self, base: Mapping[str, Any], peers: tuple[HostPort, ...], max_calls_limit: int) -> None:
-        """`most_calls` is what the limits leave descriptors for; raises `SettingsError` for a bad file."""
+        """`max_calls_limit`: the calls that `limits.sockets` allows. Raises `SettingsError`."""
         self._base = base
         self._peers = peers
-        own = disable_gossip_without_peers(read(Reader(base)), peers)
-        # What the file itself asks for is the operators' own choice, as without these settings.
-        self._most_calls = max(own.max_calls, max_calls_limit)
-        self._own = self._read(base)
-        self.in_force = _accepted(self._own, self._own, {})
+        file_settings = disable_gossip_without_peers(read(Reader(base)), peers)
+        # A larger value in the file is the operators' choice, as it is without dynamic settings.
+        self._max_calls_limit = max(file_settings.max_calls, max_calls_limit)
+        self._file_settings = self._parse(base)
+        self.in_force = _accepted_settings(self._file_settings, self._file_settings, {})
 
     def restore(
         self, items: Mapping[str, Any], retired: Mapping[str, Any], pending_classes: Collection[str]
     ) -> None:
-        """At the start: put in force what an earlier life saved, with what messages are owed under.
+        """At startup, put in force the items saved by the previous process.
 
-        `owed` names the classes of the messages that are owed. What else had gone is dropped. Items that no
-        longer fit the node's file are left; what messages are owed under is still kept.
+        Of the removed definitions in `retired`, those that pending messages need are kept, the others are
+        dropped; `pending_classes` names the classes of these messages. Items that no longer fit the node's
+        file are not put in force, but what pending messages need is kept even then.
         """
         try:
-            self.in_force = self._restored(items, retired, pending_classes)
+            self.in_force = self._restored_settings(items, retired, pending_classes)
         except SettingsError as error:
             log.error("saved_settings_refused", error=str(error))
             lanes = {path: value for path, value in items.items() if path.startswith(f"{LANES}/")}
-            self.in_force = self._restored({}, self._usable({**lanes, **retired}), pending_classes)
+            self.in_force = self._restored_settings(
+                {}, self._usable_definitions({**lanes, **retired}), pending_classes
+            )
 
     def check(self, items: Mapping[str, Any]) -> AcceptedSettings:
-        """What the node would run by under these items; raises `SettingsError` if it cannot."""
-        with _only_settings_errors():
-            proposed = self._read(compose(self._base, items))
+        """The settings of the node under these items; raises `SettingsError` if they are invalid."""
+        with _only_raising_settings_errors():
+            proposed = self._parse(compose(self._base, items))
             merged = merge(self.in_force.settings, proposed)
-            gone = retired_definitions(merged, proposed)
-            check_size(gone, "what went")  # it has to be saved; a restart drops what nothing needs
-            return _accepted(merged, proposed, gone)
+            retired = retired_definitions(merged, proposed)
+            check_size(retired, "removed definitions")  # they have to be saved; a restart drops unneeded ones
+            return _accepted_settings(merged, proposed, retired)
 
     def check_without_raising(self, items: Mapping[str, Any]) -> AcceptedSettings | SettingsError:
-        """As `check`, with the error as a value: gevent logs one that leaves a thread as a fault."""
+        """Like `check`, but returns the error: gevent logs an exception raised in a thread as a fault."""
         try:
             return self.check(items)
         except SettingsError as error:
             return error
 
-    def _read(self, document: Mapping[str, Any]) -> Settings:
+    def _parse(self, document: Mapping[str, Any]) -> Settings:
         settings = disable_gossip_without_peers(read(Reader(document)), self._peers)
         check_values(settings)
-        if settings.max_calls > self._most_calls:
+        if settings.max_calls > self._max_calls_limit:
             raise SettingsError(
-                f"extra.maxCalls: limits.sockets allows {self._most_calls} at most, not {settings.max_calls}"
+                f"extra.maxCalls: expected at most {self._max_calls_limit}, as limits.sockets allows, "
+                f"got {settings.max_calls}"
             )
         return settings
 
-    def _restored(
-        self, items: Mapping[str, Any], retired: Mapping[str, Any], owed: Collection[str]
+    def _restored_settings(
+        self, items: Mapping[str, Any], retired: Mapping[str, Any], pending_classes: Collection[str]
     ) -> AcceptedSettings:
-        with _only_settings_errors():
-            proposed = self._read(compose(self._base, items))
-            check_no_restart_needed(self._own, proposed)
-            needed = {path: value for path, value in retired.items() if _is_needed(path, owed)}
-            settings = self._read(compose(self._base, items, needed))
-            return _accepted(settings, proposed, retired_definitions(settings, proposed))
-
-    def _usable(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
-        """Those that may stand beside the node's own file."""
+        with _only_raising_settings_errors():
+            proposed = self._parse(compose(self._base, items))
+            check_no_restart_needed(self._file_settings, proposed)
+            needed = {path: value for path, value in retired.items() if _is_needed(path, pending_classes)}
+            settings = self._parse(compose(self._base, items, needed))
+            return _accepted_settings(settings, proposed, retired_definitions(settings, proposed))
+
+    def _usable_definitions(self, definitions: Mapping[str, Any]) -> dict[str, Any]:
+        """The definitions that are valid together with the node's own file."""
         usable = {}
         for path, value in definitions.items():
             try:
-                with _only_settings_errors():
-                    self._read(compose(self._base, {}, {path: value}))
+                with _only_raising_settings_errors():
+                    self._parse(compose(self._base, {}, {path: value}))
             except SettingsError as error:
                 log.error("saved_definition_refused", error=str(error))
             else:
@@ -99,8 +103,8 @@
 
 
 @contextmanager
-def _only_settings_errors() -> Iterator[None]:
-    """Whatever is wrong with a document, it ends no node."""
+def _only_raising_settings_errors() -> Iterator[None]:
+    """Turn any other exception into a `SettingsError`, so that no document can end the node."""
     try:
         yield
     except SettingsError:
@@ -109,16 +113,18 @@
         raise SettingsError(f"the document: {error!r}") from error
 
 
-def _accepted(settings: Settings, offered: Settings, retired: Mapping[str, Any]) -> AcceptedSettings:
+def _accepted_settings(
+    settings: Settings, proposed: Settings, retired: Mapping[str, Any]
+) -> AcceptedSettings:
     return AcceptedSettings(
         settings,
-        frozenset(kind.name for kind in offered.classes),
-        frozenset(tenant.name for tenant in offered.tenants),
+        frozenset(message_class.name for message_class in proposed.classes),
+        frozenset(tenant.name for tenant in proposed.tenants),
         retired,
     )
 
 
-def _is_needed(path: str, owed: Collection[str]) -> bool:
-    """Whether a definition that went is needed: a class by its messages, a kind by any that may go there."""
+def _is_needed(path: str, pending_classes: Collection[str]) -> bool:
+    """Whether pending messages need a removed definition: a class its own, a kind of destination any."""
     group, _, name = path.partition("/")
-    return name in owed if group == LANES else group == KINDS and bool(owed)
+    return name in pending_classes if group == LANES else group == KINDS and bool(pending_classes)
