--- a/irisstack/lab/standins/etcd.py
+++ b/irisstack/lab/standins/etcd.py
@@ -1,7 +1,8 @@
-"""A key-value store with revisions, as etcd's v3 interface publishes it; no I/O, no clock.
+"""An in-memory key-value store with the semantics of etcd's v3 API; it performs no I/O and reads no clock.
 
-Every write makes a new revision of the whole store. Old revisions can be read and watched until a compaction
-drops them. Messages are named as in etcd's `rpc.proto`; `etcd_json` has them as the gateway's bytes.
+Every write creates a new revision of the whole store. Old revisions can be read and watched until a
+compaction drops them. Requests and responses are named as in etcd's `rpc.proto`; `etcd_json` converts them
+from and to JSON.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -9,16 +10,16 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-ALL_KEYS = b"\0"
-"""As a range's end: every key from the range's start on."""
+UNBOUNDED_END = b"\0"
+"""The range end that stands for no upper bound: all keys from the start of the range on."""
 FIRST_REVISION = 1
-"""The revision of a store that was never written to."""
-WATCH_BATCH = 1000
-"""Revisions at most in one response of a watch that catches up, as in etcd."""
+"""The revision of an empty store, before the first write."""
+WATCH_BATCH_REVISIONS = 1000
+"""Maximum number of revisions in one response to a watch that is catching up, as in etcd."""
 
 
 class Code(IntEnum):
-    """The codes of gRPC that the gateway's errors carry."""
+    """The gRPC status codes used in the gateway's error responses."""
 
     INVALID_ARGUMENT = 3
     OUT_OF_RANGE = 11
@@ -27,7 +28,7 @@
 
 
 class EtcdError(Exception):
-    """A request that etcd refuses."""
+    """A request that etcd rejects."""
 
     def __init__(self, code: Code, message: str) -> None:
         super().__init__(message)
@@ -36,28 +37,28 @@
 
 
 class InvalidArgumentError(EtcdError):
-    """The request itself is wrong."""
+    """The request is malformed or contradicts itself."""
 
     def __init__(self, message: str) -> None:
         super().__init__(Code.INVALID_ARGUMENT, message)
 
 
 class CompactedError(EtcdError):
-    """The revision asked for is dropped."""
+    """The requested revision has been compacted."""
 
     def __init__(self) -> None:
         super().__init__(Code.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted")
 
 
 class FutureRevisionError(EtcdError):
-    """The revision asked for is not there yet."""
+    """The requested revision does not exist yet."""
 
     def __init__(self) -> None:
         super().__init__(Code.OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision")
 
 
 class NoLeaderError(EtcdError):
-    """The member belongs to no quorum."""
+    """The member has no quorum."""
 
     def __init__(self) -> None:
         super().__init__(Code.UNAVAILABLE, "etcdserver: no leader")
@@ -98,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyValue:
-    """One version of a key; `version` 0 marks a deletion, as in a watch's event."""
+    """One version of a key; `version` 0 marks a tombstone, as in a DELETE event."""
 
     key: bytes
     value: bytes
@@ -117,12 +118,12 @@
 
     type: EventType
     kv: KeyValue
-    previous: KeyValue | None
+    prev_kv: KeyValue | None
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """What one revision changed."""
+    """All events of one revision."""
 
     revision: int
     events: tuple[Event, ...]
@@ -130,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RangeRequest:
-    """Keys from `key` up to, not including, `range_end`; without an end just `key`."""
+    """Reads the keys from `key` up to but not including `range_end`; only `key` if `range_end` is empty."""
 
     key: bytes
     range_end: bytes = b""
@@ -147,19 +148,19 @@
 class PutRequest:
     key: bytes
     value: bytes
-    previous: bool = False
+    prev_kv: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class DeleteRangeRequest:
     key: bytes
     range_end: bytes = b""
-    previous: bool = False
+    prev_kv: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Compare:
-    """A condition of a transaction on every key of a range."""
+    """A condition of a transaction; it has to hold for every key of the range."""
 
     key: bytes
     range_end: bytes
@@ -170,7 +171,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TxnRequest:
-    """Operations that are carried out together: `success` where every comparison holds, else `failure`."""
+    """Executes `success` atomically if every comparison holds, else `failure`."""
 
     compare: tuple[Compare, ...]
     success: "tuple[Operation, ...]"
@@ -184,13 +185,13 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchRequest:
-    """Changes of a range from a revision on; without one from the next change."""
+    """Watches a range from `start_revision` on, or from the next change if it is 0."""
 
     key: bytes
     range_end: bytes = b""
     start_revision: int = 0
     progress_notify: bool = False
-    previous: bool = False
+    prev_kv: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -202,13 +203,13 @@
 
 @dataclass(slots=True, frozen=True)
 class PutResponse:
-    previous: KeyValue | None
+    prev_kv: KeyValue | None
 
 
 @dataclass(slots=True, frozen=True)
 class DeleteRangeResponse:
     deleted: int
-    previous: tuple[KeyValue, ...]
+    prev_kvs: tuple[KeyValue, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -219,7 +220,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompactionResponse:
-    """A compaction is done."""
+    """Acknowledges a compaction."""
 
 
 Operation = RangeRequest | PutRequest | DeleteRangeRequest | TxnRequest
@@ -229,36 +230,36 @@
 
 
 def in_range(key: bytes, start: bytes, end: bytes) -> bool:
-    """Whether a key lies in a range as etcd writes it."""
+    """Whether a key lies in a range; `end` follows etcd's `range_end`."""
     if not end:
         return key == start
-    return key >= start and (end == ALL_KEYS or key < end)
+    return key >= start and (end == UNBOUNDED_END or key < end)
 
 
 class Store:
-    """All revisions of all keys that no compaction has dropped."""
+    """The versions of all keys that no compaction has dropped."""
 
     def __init__(self) -> None:
         self.revision = FIRST_REVISION
         self.compact_revision = 0
-        self._keys: list[bytes] = []
+        self._sorted_keys: list[bytes] = []
         self._versions: dict[bytes, list[KeyValue]] = {}
         self._changes: list[Change] = []
 
     def copy(self) -> "Store":
-        """The store as it is now: a backup, or what a member that is cut off goes on with."""
+        """A snapshot of the store, used as a backup or as the data of a member that loses its quorum."""
         copied = Store()
         copied.revision, copied.compact_revision = self.revision, self.compact_revision
-        copied._keys = list(self._keys)
+        copied._sorted_keys = list(self._sorted_keys)
         copied._versions = {key: list(versions) for key, versions in self._versions.items()}
         copied._changes = list(self._changes)
         return copied
 
     def execute(self, request: Request) -> Response:
-        """Carry out one request; raises `EtcdError` and changes nothing if it is refused."""
+        """Execute one request; raises `EtcdError` and changes nothing if the request is rejected."""
         if isinstance(request, CompactionRequest):
             return self._compact(request.revision)
-        self._check(request, set())
+        self._validate(request, set())
         events: list[Event] = []
         response = self._apply(request, self.revision + 1, events)
         if events:
@@ -267,16 +268,19 @@
         return response
 
     def changes_from(self, revision: int) -> Sequence[Change]:
-        """The changes of that revision and later ones, a batch at most; raises `CompactedError`."""
+        """The changes from `revision` on, at most `WATCH_BATCH_REVISIONS`.
+
+        Raises `CompactedError` if the revision has been compacted.
+        """
         if revision < self.compact_revision:
             raise CompactedError
         first = bisect_left(self._changes, revision, key=lambda change: change.revision)
-        return self._changes[first : first + WATCH_BATCH]
+        return self._changes[first : first + WATCH_BATCH_REVISIONS]
 
     # ---- requests ----
 
-    def _check(self, request: Operation, written: set[bytes]) -> None:
-        """Refuse what cannot be carried out before anything is changed."""
+    def _validate(self, request: Operation, written_keys: set[bytes]) -> None:
+        """Raise `EtcdError` for an operation that cannot be executed, before anything changes."""
         match request:
             case RangeRequest(revision=revision):
                 if revision > self.revision:
@@ -286,14 +290,14 @@
             case PutRequest(key=key):
                 if not key:
                     raise InvalidArgumentError("etcdserver: key is not provided")
-                if key in written:
+                if key in written_keys:
                     raise InvalidArgumentError("etcdserver: duplicate key given in txn request")
-                written.add(key)
+                written_keys.add(key)
             case TxnRequest(success=success, failure=failure):
                 for branch in (success, failure):
-                    branch_written = set(written)
+                    branch_keys = set(written_keys)
                     for operation in branch:
-                        self._check(operation, branch_written)
+                        self._validate(operation, branch_keys)
 
     def _apply(self, request: Operation, revision: int, events: list[Event]) -> OperationResponse:
         match request:
@@ -304,18 +308,20 @@
             case DeleteRangeRequest():
                 return self._delete(request, revision, events)
             case TxnRequest():
-                succeeded = all(self._holds(compare) for compare in request.compare)
+                succeeded = all(self._is_satisfied(compare) for compare in request.compare)
                 branch = request.success if succeeded else request.failure
-                return TxnResponse(succeeded, tuple(self._apply(one, revision, events) for one in branch))
+                return TxnResponse(
+                    succeeded, tuple(self._apply(operation, revision, events) for operation in branch)
+                )
 
     def _range(self, request: RangeRequest) -> RangeResponse:
-        found = list(self._read(request.key, request.range_end, request.revision))
+        found = list(self._iter_range(request.key, request.range_end, request.revision))
         count = len(found)
         if request.count_only:
             return RangeResponse((), False, count)
         if request.sort_order is not SortOrder.NONE:
             found.sort(
-                key=lambda kv: _sort_value(kv, request.sort_target),
+                key=lambda kv: _sort_key(kv, request.sort_target),
                 reverse=request.sort_order is SortOrder.DESCEND,
             )
         if request.limit:
@@ -325,34 +331,34 @@
         return RangeResponse(tuple(found), len(found) < count, count)
 
     def _put(self, request: PutRequest, revision: int, events: list[Event]) -> PutResponse:
-        previous = self._latest(request.key)
-        if previous is None:
+        prev_kv = self._latest_version(request.key)
+        if prev_kv is None:
             kv = KeyValue(request.key, request.value, revision, revision, 1)
         else:
-            kv = KeyValue(
-                request.key, request.value, previous.create_revision, revision, previous.version + 1
-            )
-        self._write(kv)
-        events.append(Event(EventType.PUT, kv, previous))
-        return PutResponse(previous if request.previous else None)
+            kv = KeyValue(request.key, request.value, prev_kv.create_revision, revision, prev_kv.version + 1)
+        self._append_version(kv)
+        events.append(Event(EventType.PUT, kv, prev_kv))
+        return PutResponse(prev_kv if request.prev_kv else None)
 
     def _delete(self, request: DeleteRangeRequest, revision: int, events: list[Event]) -> DeleteRangeResponse:
-        found = tuple(self._read(request.key, request.range_end, 0))
-        for previous in found:
-            tombstone = KeyValue(previous.key, b"", 0, revision, 0)
-            self._write(tombstone)
-            events.append(Event(EventType.DELETE, tombstone, previous))
-        return DeleteRangeResponse(len(found), found if request.previous else ())
-
-    def _holds(self, compare: Compare) -> bool:
+        found = tuple(self._iter_range(request.key, request.range_end, 0))
+        for prev_kv in found:
+            tombstone = KeyValue(prev_kv.key, b"", 0, revision, 0)
+            self._append_version(tombstone)
+            events.append(Event(EventType.DELETE, tombstone, prev_kv))
+        return DeleteRangeResponse(len(found), found if request.prev_kv else ())
+
+    def _is_satisfied(self, compare: Compare) -> bool:
         if compare.range_end:
-            return all(_compared(kv, compare) for kv in self._read(compare.key, compare.range_end, 0))
-        kv = self._latest(compare.key)
+            return all(
+                _key_satisfies(kv, compare) for kv in self._iter_range(compare.key, compare.range_end, 0)
+            )
+        kv = self._latest_version(compare.key)
         if kv is None:
             if compare.target is CompareTarget.VALUE:
                 return False
             kv = KeyValue(compare.key, b"", 0, 0, 0)
-        return _compared(kv, compare)
+        return _key_satisfies(kv, compare)
 
     def _compact(self, revision: int) -> CompactionResponse:
         if revision > self.revision:
@@ -362,52 +368,52 @@
         self.compact_revision = revision
         self._changes = [change for change in self._changes if change.revision >= revision]
         for key, versions in list(self._versions.items()):
-            kept = versions[max(0, _count_until(versions, revision) - 1) :]
+            kept = versions[max(0, _count_versions_up_to(versions, revision) - 1) :]
             if kept[0].deleted and kept[0].mod_revision < revision:
                 kept = kept[1:]
             if kept:
                 self._versions[key] = kept
             else:
                 del self._versions[key]
-        self._keys = sorted(self._versions)
+        self._sorted_keys = sorted(self._versions)
         return CompactionResponse()
 
     # ---- keys ----
 
-    def _write(self, kv: KeyValue) -> None:
+    def _append_version(self, kv: KeyValue) -> None:
         versions = self._versions.get(kv.key)
         if versions is None:
-            insort(self._keys, kv.key)
+            insort(self._sorted_keys, kv.key)
             self._versions[kv.key] = [kv]
         else:
             versions.append(kv)
 
-    def _latest(self, key: bytes) -> KeyValue | None:
+    def _latest_version(self, key: bytes) -> KeyValue | None:
         versions = self._versions.get(key)
         return None if versions is None or versions[-1].deleted else versions[-1]
 
-    def _read(self, start: bytes, end: bytes, revision: int) -> Iterator[KeyValue]:
-        """The keys of a range as they stood at a revision; 0 means now."""
+    def _iter_range(self, start: bytes, end: bytes, revision: int) -> Iterator[KeyValue]:
+        """The keys of a range at `revision`; 0 stands for the latest revision."""
         for key in self._keys_in(start, end):
             versions = self._versions[key]
-            count = len(versions) if not revision else _count_until(versions, revision)
+            count = len(versions) if not revision else _count_versions_up_to(versions, revision)
             if count and not versions[count - 1].deleted:
                 yield versions[count - 1]
 
     def _keys_in(self, start: bytes, end: bytes) -> Sequence[bytes]:
         if not end:
             return [start] if start in self._versions else []
-        first = bisect_left(self._keys, start)
-        last = len(self._keys) if end == ALL_KEYS else bisect_left(self._keys, end)
-        return self._keys[first:last]
+        first = bisect_left(self._sorted_keys, start)
+        last = len(self._sorted_keys) if end == UNBOUNDED_END else bisect_left(self._sorted_keys, end)
+        return self._sorted_keys[first:last]
 
 
-def _count_until(versions: Sequence[KeyValue], revision: int) -> int:
-    """How many versions of a key were written up to a revision."""
+def _count_versions_up_to(versions: Sequence[KeyValue], revision: int) -> int:
+    """The number of versions of a key with a revision not above `revision`."""
     return bisect_right(versions, revision, key=lambda kv: kv.mod_revision)
 
 
-def _sort_value(kv: KeyValue, target: SortTarget) -> int | bytes:
+def _sort_key(kv: KeyValue, target: SortTarget) -> int | bytes:
     match target:
         case SortTarget.KEY:
             return kv.key
@@ -421,22 +427,22 @@
             return kv.value
 
 
-def _compared(kv: KeyValue, compare: Compare) -> bool:
+def _key_satisfies(kv: KeyValue, compare: Compare) -> bool:
     match compare.target:
         case CompareTarget.VALUE:
-            return _order_holds(kv.value, compare.operand, compare.result)
+            return _values_satisfy(kv.value, compare.operand, compare.result)
         case CompareTarget.VERSION:
-            return _order_holds(kv.version, compare.operand, compare.result)
+            return _values_satisfy(kv.version, compare.operand, compare.result)
         case CompareTarget.CREATE:
-            return _order_holds(kv.create_revision, compare.operand, compare.result)
+            return _values_satisfy(kv.create_revision, compare.operand, compare.result)
         case CompareTarget.MOD:
-            return _order_holds(kv.mod_revision, compare.operand, compare.result)
+            return _values_satisfy(kv.mod_revision, compare.operand, compare.result)
 
 
-def _order_holds(left: int | bytes, right: int | bytes, result: CompareResult) -> bool:
+def _values_satisfy(left: int | bytes, right: int | bytes, result: CompareResult) -> bool:
     if isinstance(left, bytes) != isinstance(right, bytes):
         raise InvalidArgumentError("etcdserver: a comparison of unlike values")
-    order = (left > right) - (left < right)  # type: ignore[operator]  # alike, as the line above has it
+    order = (left > right) - (left < right)  # type: ignore[operator]  # both bytes or both int, as checked above
     match result:
         case CompareResult.EQUAL:
             return order == 0
@@ -450,7 +456,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchResponse:
-    """One message of a watch; `revision` is that of the header, 0 where etcd leaves it out."""
+    """One response of a watch; `revision` is the header's revision, 0 where etcd omits it."""
 
     revision: int
     created: bool = False
@@ -461,7 +467,7 @@
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """A cursor through a store's changes; the caller decides when to read on."""
+    """A cursor over the changes of a store; the caller decides when to read the next response."""
 
     request: WatchRequest
     next_revision: int
@@ -469,14 +475,15 @@
 
     @classmethod
     def create(cls, request: WatchRequest, store: Store) -> tuple["Watch", WatchResponse]:
-        """A new watch, and the response that says so."""
+        """Create a watch; returns it with the response that confirms its creation."""
         next_revision = request.start_revision or store.revision + 1
         return cls(request, next_revision), WatchResponse(store.revision, created=True)
 
     def read(self, store: Store) -> WatchResponse | None:
-        """The next message, or `None` if there is nothing to say.
+        """The next response, or `None` if there are no new events.
 
-        A compaction past the cursor ends the watch. As in etcd, the header of that message has no revision.
+        A compaction beyond the cursor cancels the watch. As in etcd, the header of that response has no
+        revision.
         """
         if self.canceled:
             return None
@@ -490,16 +497,18 @@
                 self.next_revision = store.revision + 1
                 return None
             self.next_revision = changes[-1].revision + 1
-            events = tuple(event for change in changes for event in change.events if self._wants(event))
+            events = tuple(
+                event for change in changes for event in change.events if self._in_watched_range(event)
+            )
             if events:
                 return WatchResponse(store.revision, events=events)
         return None
 
     def progress(self, store: Store) -> WatchResponse | None:
-        """A progress notification: all changes up to its revision were sent; `None` if the watch lags."""
+        """A progress notification: all events up to its revision were sent; `None` if the watch is behind."""
         if self.canceled or self.next_revision <= store.revision:
             return None
         return WatchResponse(store.revision)
 
-    def _wants(self, event: Event) -> bool:
+    def _in_watched_range(self, event: Event) -> bool:
         return in_range(event.kv.key, self.request.key, self.request.range_end)
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -8,7 +8,7 @@
 import pytest
 
 from irisstack.__main__ import main
-from irisstack.lab.standins.etcd_cluster import Reach
+from irisstack.lab.standins.etcd_cluster import Availability
 from irisstack.lab.standins.etcd_server import EtcdServer
 from irisstack.node import settings_publisher
 from irisstack.node.config import HostPort
@@ -109,7 +109,7 @@
 def test_unreachable_member_is_skipped(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    server.cluster.set_reach(0, Reach.DOWN)
+    server.cluster.set_availability(0, Availability.DOWN)
     assert publish(node_file, VALID_DOCUMENT) == 0
     assert published_items(server, node_file, capfd) == VALID_DOCUMENT
 
@@ -118,7 +118,7 @@
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     for number in range(3):
-        server.cluster.set_reach(number, Reach.DOWN)
+        server.cluster.set_availability(number, Availability.DOWN)
     assert publish(node_file, VALID_DOCUMENT) == 1
     assert capfd.readouterr().err.startswith("irisstack: no member answered: ")
 
