--- a/irisstack/lab/capacity/registry.py
+++ b/irisstack/lab/capacity/registry.py
@@ -70,7 +70,7 @@
 LIST_AT_CONTROL_BANDWIDTH = Budget(
     targets.CONTROL_BYTES_PER_S * targets.LIST_SILENCE_S,
     Source.OPERATORS,
-    "bytes that come at the control bandwidth before SILENCE of node/list_call.py breaks the call",
+    "bytes that come at the control bandwidth before SILENCE_TIMEOUT_S of node/list_call.py breaks the call",
 )
 REQUEST_PATIENCE = Budget(
     targets.REQUEST_WHOLE_BY_S,
