--- a/irisstack/cli/lab.py
+++ b/irisstack/cli/lab.py
@@ -75,7 +75,7 @@
 
     from irisstack.lab import scenario
 
-    path = scenario.find(name)
+    path = scenario.scenario_path(name)
     try:
         found = scenario.read(path)
         told: dict[str, Any] = {}
@@ -87,7 +87,7 @@
                 told[key] = value
             if not equals:
                 output.fail(f"--set {change}: KEY=VALUE is due", output.ASKED_WRONGLY)
-        return scenario.changed(found, told, path) if told else found
+        return scenario.with_changes(found, told, path) if told else found
     except DocumentError as error:
         output.fail(str(error), output.ASKED_WRONGLY)
 
@@ -133,7 +133,7 @@
     """List the scenarios that come with the program."""
     from irisstack.lab import scenario
 
-    found = [scenario.read(path) for path in sorted(scenario.SHIPPED.glob("*.toml"))]
+    found = [scenario.read(path) for path in sorted(scenario.SCENARIO_DIRECTORY.glob("*.toml"))]
     output.table(
         ["name", "seconds", "nodes", "destinations", "shows"],
         [
@@ -156,10 +156,10 @@
 @output.json_option
 def check(scenario: str, changes: tuple[str, ...], as_json: bool) -> None:
     """Check SCENARIO (a file, or the name of a shipped one) and tell what it comes to."""
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     found = _scenario(scenario, changes)
-    world = build(found)
+    world = build_world(found)
     output.table(
         ["what", "value"],
         [
@@ -170,12 +170,12 @@
             ["endpoints", len(world.endpoints)],
             [
                 "slots of a node, least and most",
-                f"{min(s.slots for s in world.senders)} to {max(s.slots for s in world.senders)}",
+                f"{min(s.max_calls for s in world.senders)} to {max(s.max_calls for s in world.senders)}",
             ],
             *(
                 [
                     f"trouble: {i.trouble.kind}",
-                    f"{i.begins:.1f} to {i.ends:.1f} s, strikes {len(i.nodes) or len(i.destinations)}",
+                    f"{i.starts_at:.1f} to {i.ends_at:.1f} s, strikes {len(i.nodes) or len(i.destinations)}",
                 ]
                 for i in world.incidents
             ),
@@ -198,16 +198,16 @@
     from irisstack.lab import results
     from irisstack.lab.baselines import POLICIES
     from irisstack.lab.virtual.play import play
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     if policy not in POLICIES:
         output.fail(f"--policy: one of {', '.join(POLICIES)} is due, not {policy!r}", output.ASKED_WRONGLY)
     found = _scenario(scenario, changes)
     seed = found.scenario.seed if seed is None else seed
-    world = build(found, seed)
+    world = build_world(found, seed)
     with _bar(found.scenario.name) as progress:
         played = play(world, POLICIES[policy], progress)
-    run, score, breaches = results.audited(
+    run, score, breaches = results.audit_run(
         world, played.ledger, way="model", policy=policy, seed=seed, cpu_s=played.cpu_s, events=played.events
     )
     _keep(out / f"{found.scenario.name}-model-{policy}-{seed}", world, run, score, breaches, played.ledger)
@@ -246,17 +246,17 @@
     from irisstack.lab import results
     from irisstack.lab.sockets.play import play
     from irisstack.lab.sockets.run_context import RunError
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     seed = found.scenario.seed if seed is None else seed
-    world = build(found, seed)
+    world = build_world(found, seed)
     folder = out / f"{found.scenario.name}-sockets-{seed}"
     try:
         with _bar(found.scenario.name) as progress:
             played = play(world, folder / "nodes", progress)
     except (RunError, OSError) as error:
         output.fail(str(error))
-    run, score, breaches = results.audited(
+    run, score, breaches = results.audit_run(
         world, played.ledger, way="sockets", policy="module", seed=seed, cpu_s=played.cpu_s
     )
     run.partial, run.not_a_result = played.partial, played.not_a_result
@@ -318,7 +318,7 @@
 
     try:
         results.save(folder, world.scenario, run, entries)
-        report.write(folder / "report.html", report.of_run(world, run, score, breaches, entries))
+        report.write_atomically(folder / "report.html", report.run_page(world, run, score, breaches, entries))
     except OSError as error:
         output.fail(f"{folder}: cannot be written: {error.strerror}")
     click.echo(f"kept in {folder}, report in {folder / 'report.html'}", err=True)
@@ -335,7 +335,7 @@
 
     try:
         told = experiments.read(experiment)
-        work = experiments.jobs(told, experiment)
+        work = experiments.build_jobs(told, experiment)
     except DocumentError as error:
         output.fail(str(error), output.ASKED_WRONGLY)
     folder = out / told.experiment.name
@@ -366,8 +366,8 @@
     output.table(
         columns,
         [
-            [s.scenario, s.variant, s.runs, s.score, s.low, s.high, s.whole, s.waste, s.broken]
-            for s in compare.summaries(runs)
+            [s.scenario, s.variant, s.runs, s.score, s.low, s.high, s.whole, s.waste, s.runs_with_breaches]
+            for s in compare.summarize(runs)
         ],
         as_json,
     )
@@ -391,7 +391,7 @@
         file = path / "runs.jsonl" if path.is_dir() else path
         if not file.exists():
             output.fail(f"{path}: no results there", output.ASKED_WRONGLY)
-        return experiment.kept(file)
+        return experiment.load_runs(file)
     except (OSError, ValueError) as error:
         output.fail(str(error))
 
@@ -426,7 +426,17 @@
     output.table(
         columns,
         [
-            [d.scenario, d.metric, d.pairs, d.mean_a, d.mean_b, d.difference, d.low, d.high, d.words(a, b)]
+            [
+                d.scenario,
+                d.metric,
+                d.pairs,
+                d.mean_a,
+                d.mean_b,
+                d.difference,
+                d.low,
+                d.high,
+                d.conclusion(a, b),
+            ]
             for d in found
         ],
         as_json,
@@ -441,7 +451,7 @@
     from irisstack.configuration.document import parse
     from irisstack.lab import ledger, report, results
     from irisstack.lab.scenario import Scenario
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     if not (folder / "run.json").exists():
         runs = _runs(folder)
@@ -453,8 +463,8 @@
         entries = ledger.read(folder / "ledger.jsonl.gz")
     except (OSError, ValueError, EOFError, DocumentError) as error:
         output.fail(str(error))
-    world = build(scenario, kept.seed)
-    run, score, breaches = results.audited(world, entries, way=kept.way, policy=kept.policy, seed=kept.seed)
+    world = build_world(scenario, kept.seed)
+    run, score, breaches = results.audit_run(world, entries, way=kept.way, policy=kept.policy, seed=kept.seed)
     run.versions, run.partial, run.not_a_result = kept.versions, kept.partial, kept.not_a_result
-    report.write(folder / "report.html", report.of_run(world, run, score, breaches, entries))
+    report.write_atomically(folder / "report.html", report.run_page(world, run, score, breaches, entries))
     click.echo(f"report in {folder / 'report.html'}", err=True)
--- a/irisstack/lab/audit/figures.py
+++ b/irisstack/lab/audit/parameters.py
@@ -7,16 +7,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
+class AuditParameters:
     """What the rules and the worth of a run go by; times in seconds."""
 
     classes: tuple[MessageClass, ...]
-    length: float
+    duration: float
     answer_slack: float
     drain_grace: float
     order_pause: float
     wait_slack: float
-    tip_seconds: dict[int, float]
+    overload_windows: dict[int, float]
     """For each destination: over how long its load before a fall is looked at."""
     separate_routes: frozenset[int]
     """Destinations whose endpoints are routes of their own."""
@@ -24,12 +24,12 @@
     """After a node is ready again, the time in which nothing that it owes is overdue."""
 
 
-def figures_of(world: World) -> Figures:
+def audit_parameters(world: World) -> AuditParameters:
     """The figures of a scenario's world."""
     rules = world.scenario.rules
-    return Figures(
+    return AuditParameters(
         tuple(world.scenario.classes),
-        world.length,
+        world.duration,
         rules.answer_slack_s,
         rules.drain_grace_s,
         rules.order_pause_s,
--- a/irisstack/lab/audit/rules.py
+++ b/irisstack/lab/audit/rules.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from irisstack.lab import ledger as records
-from irisstack.lab.audit.figures import Figures
+from irisstack.lab.audit.parameters import AuditParameters
 
 RULES_SHARE = 2.0 / 3.0
 """Of the load that pushed a destination over: from this part on it is the fault of nodes that knew better."""
@@ -55,7 +55,7 @@
     never_submitted: list[records.NeverSubmitted]
 
 
-def index(ledger: Iterable[records.Entry]) -> Index:
+def build_index(ledger: Iterable[records.Entry]) -> Index:
     """Group a ledger's records."""
     found = Index({}, defaultdict(list), [], [], [], [], defaultdict(list), [], [], [])
     submissions = found.submissions
@@ -93,7 +93,7 @@
 # ---- 1: one final answer in time, and nothing sent after it ----
 
 
-def one_answer(found: Index, figures: Figures) -> list[Breach]:
+def one_answer(found: Index, figures: AuditParameters) -> list[Breach]:
     """Each message handed to a running node ends once, in time, and nothing is sent for it afterwards."""
     breaches = []
 
@@ -129,7 +129,7 @@
 
 
 def _latest_end(
-    history: SubmissionHistory, states: Sequence[records.NodeState], figures: Figures
+    history: SubmissionHistory, states: Sequence[records.NodeState], figures: AuditParameters
 ) -> float | None:
     """When the message's end is due; `None` if its node no longer owes one."""
     latest = history.submitted.due + figures.answer_slack
@@ -153,7 +153,7 @@
 # ---- 2: no effect twice ----
 
 
-def no_effect_twice(found: Index, figures: Figures) -> list[Breach]:
+def no_effect_twice(found: Index, figures: AuditParameters) -> list[Breach]:
     """What may have run goes again, or is refused, only where that cannot double its effect."""
     breaches = []
     for history in found.submissions.values():
@@ -208,7 +208,7 @@
     return breaches
 
 
-def effects_twice(found: Index, figures: Figures) -> int:
+def count_duplicate_effects(found: Index, figures: AuditParameters) -> int:
     """Messages that took effect more than once, whoever is at fault (those safe to repeat aside)."""
     effects: dict[int, int] = defaultdict(int)
     for ran in found.executed:
@@ -223,7 +223,7 @@
 # ---- 3: drains ----
 
 
-def drains_kept(found: Index, figures: Figures) -> list[Breach]:
+def drains_kept(found: Index, figures: AuditParameters) -> list[Breach]:
     """Nothing new goes to an endpoint once its node knows, and the grace is over."""
     known: dict[tuple[int, int], list[tuple[float, bool]]] = defaultdict(list)
     for announcement in found.announced:
@@ -256,7 +256,7 @@
 # ---- 4: a destination that returns is not pushed over ----
 
 
-def not_pushed_over(found: Index, figures: Figures) -> list[Breach]:
+def not_pushed_over(found: Index, figures: AuditParameters) -> list[Breach]:
     """No fall for which two thirds of the load came from nodes that had seen the outage."""
     sent_to: dict[int, list[records.Sent]] = defaultdict(list)
     for sent in found.sent:
@@ -277,7 +277,9 @@
             continue
         aware = {node for t, node in failures[fall.destination] if began <= t <= fall.t}
         calls = sent_to[fall.destination]
-        first = bisect_left(calls, fall.t - figures.tip_seconds[fall.destination], key=lambda sent: sent.t)
+        first = bisect_left(
+            calls, fall.t - figures.overload_windows[fall.destination], key=lambda sent: sent.t
+        )
         load = [sent for sent in calls[first:] if sent.t <= fall.t]
         by_aware = sum(sent.node in aware for sent in load)
         if load and by_aware >= RULES_SHARE * len(load):
@@ -297,7 +299,7 @@
 # ---- 5: order ----
 
 
-def order_kept(found: Index, figures: Figures) -> list[Breach]:
+def order_kept(found: Index, figures: AuditParameters) -> list[Breach]:
     """In a class that asks for it, a node's messages of one key go one at a time, in the order handed in."""
     lines: dict[tuple[int, int], list[SubmissionHistory]] = defaultdict(list)
     for history in found.submissions.values():
@@ -323,7 +325,7 @@
     return breaches
 
 
-def _free_after(history: SubmissionHistory, figures: Figures) -> float:
+def _free_after(history: SubmissionHistory, figures: AuditParameters) -> float:
     """When the next message of the key may be sent."""
     until = history.ended[0].t if history.ended else float("inf")
     if len(history.answered) < len(history.sent) and not history.ended:
@@ -337,7 +339,7 @@
 # ---- 6: told waits ----
 
 
-def waits_heeded(found: Index, figures: Figures) -> list[Breach]:
+def waits_heeded(found: Index, figures: AuditParameters) -> list[Breach]:
     """After a told wait its node sends nothing there until the wait is over."""
     waits: dict[tuple[int, int, int], list[tuple[float, float]]] = defaultdict(list)
     seen: set[tuple[int, int, float, float]] = set()
@@ -372,7 +374,7 @@
     return any(after <= state.t <= before for state in states if state.state in ("killed", "lost"))
 
 
-RULES: dict[str, Callable[[Index, Figures], list[Breach]]] = {
+RULES: dict[str, Callable[[Index, AuditParameters], list[Breach]]] = {
     "one answer": one_answer,
     "no effect twice": no_effect_twice,
     "drains": drains_kept,
@@ -382,6 +384,6 @@
 }
 
 
-def check(found: Index, figures: Figures) -> dict[str, list[Breach]]:
+def check(found: Index, figures: AuditParameters) -> dict[str, list[Breach]]:
     """Every rule with what broke it."""
     return {name: rule(found, figures) for name, rule in RULES.items()}
--- a/irisstack/lab/audit/scoring.py
+++ b/irisstack/lab/audit/scoring.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from irisstack.lab import ledger as records
-from irisstack.lab.audit.figures import Figures
+from irisstack.lab.audit.parameters import AuditParameters
 from irisstack.lab.audit.rules import Index
 from irisstack.lab.scenario import MessageClass
 
@@ -52,7 +52,7 @@
     return kind.worth * (1.0 - late * (1.0 - kind.late_worth))
 
 
-def score(found: Index, figures: Figures) -> RunScore:
+def score(found: Index, figures: AuditParameters) -> RunScore:
     """Score a run; a client's retries belong to its first submission."""
     earned: dict[str, float] = defaultdict(float)
     asked: dict[str, float] = defaultdict(float)
@@ -98,7 +98,7 @@
     messages, attempts = len(found.by_chain) + len(found.never_submitted), len(found.sent)
     return RunScore(
         whole=sum(earned.values()) / total if total else 1.0,
-        worst_window=_worst_window(per_second, total, figures.length),
+        worst_window=_worst_window(per_second, total, figures.duration),
         worst_class=min(by_class.values(), default=1.0),
         by_class=by_class,
         ends=dict(sorted(ends.items())),
--- a/irisstack/lab/baselines.py
+++ b/irisstack/lab/baselines.py
@@ -13,7 +13,7 @@
 
 from irisstack import interface as api
 from irisstack.interface import Effect, Outcome
-from irisstack.lab.policy import Maker, Policy, Truth, module
+from irisstack.lab.policy import Oracle, Policy, PolicyFactory, decision_module
 
 NOT_RUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 NEVER = float("inf")
@@ -79,7 +79,7 @@
 class Courier:
     """What all of them share; a subclass says when to call and when to try again."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
         self.settings = settings
         self.random = Random(seed)
         self.truth = truth
@@ -344,7 +344,7 @@
 class HalfOpenBreaker(Backoff):
     """The textbook's breaker: five failures in a row open it for 5 s, then one trial call decides."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
         super().__init__(settings, seed, truth)
         self._failures: dict[int, int] = {}
         self._open_until: dict[int, float] = {}
@@ -372,7 +372,7 @@
 class TokenBucket(Backoff):
     """Calls spaced by this sender's even part of the rate that the list tells."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
         super().__init__(settings, seed, truth)
         self._tokens: dict[int, tuple[float, float]] = {}
 
@@ -391,7 +391,7 @@
 class Aimd(Backoff):
     """Calls out at once to each destination: one more for each round that succeeds, half for each failure."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
         super().__init__(settings, seed, truth)
         self._window: dict[int, float] = {}
 
@@ -416,10 +416,10 @@
     LOOK = 0.02
 
     def gate(self, partner: Partner) -> float:
-        return 0.0 if self.truth.place(self.now, partner.number) is not None else self.now + self.LOOK
+        return 0.0 if self.truth.find_endpoint(self.now, partner.number) is not None else self.now + self.LOOK
 
     def choose(self, partner: Partner) -> api.Address:
-        address = self.truth.claim(self.now, partner.number)
+        address = self.truth.reserve_endpoint(self.now, partner.number)
         return address if address in partner.endpoints else super().choose(partner)
 
     def pick(self, partner: Partner) -> Held:
@@ -441,16 +441,16 @@
         return self.LOOK
 
 
-def _maker(kind: type[Courier]) -> Maker:
-    def make(settings: api.Settings, seed: int, truth: Truth) -> Policy:
+def _maker(kind: type[Courier]) -> PolicyFactory:
+    def make(settings: api.Settings, seed: int, truth: Oracle) -> Policy:
         return kind(settings, seed, truth)
 
     return make
 
 
-MODULE = "module"
-POLICIES: dict[str, Maker] = {
-    MODULE: module,
+MODULE_POLICY = "module"
+POLICIES: dict[str, PolicyFactory] = {
+    MODULE_POLICY: decision_module,
     "one-try": _maker(OneTry),
     "backoff": _maker(Backoff),
     "half-open": _maker(HalfOpenBreaker),
--- a/irisstack/lab/capacity/measurements/node_list.py
+++ b/irisstack/lab/capacity/measurements/node_list.py
@@ -24,7 +24,7 @@
 from irisstack.lab.node_settings import settings_object
 from irisstack.lab.sockets.platform import Platform
 from irisstack.lab.sockets.run_context import RunContext
-from irisstack.lab.world import World, build
+from irisstack.lab.world import World, build_world
 
 DESTINATIONS = (100, 1_000, 10_000, 100_000)
 CHANGES = 20
@@ -43,9 +43,9 @@
 
 def world_of(destinations: int) -> World:
     """A world of so many destinations, with one endpoint each, and two nodes."""
-    path = scenario.find("calm-day")
+    path = scenario.scenario_path("calm-day")
     changes = {**SCENARIO, "kinds": [{"name": "plain", "count": destinations}]}
-    return build(scenario.changed(scenario.read(path), changes, path))
+    return build_world(scenario.with_changes(scenario.read(path), changes, path))
 
 
 def addresses_of(world: World) -> dict[int, tuple[str, int]]:
--- a/irisstack/lab/capacity/measurements/node_load.py
+++ b/irisstack/lab/capacity/measurements/node_load.py
@@ -9,7 +9,7 @@
 from irisstack.lab.capacity.measurements.measurement import MeasuredSlope, Measurement
 from irisstack.lab.capacity.measurements.node_list import node_settings, world_of
 from irisstack.lab.sockets.play import play
-from irisstack.lab.world import build
+from irisstack.lab.world import build_world
 
 RATES = (5, 20, 80, 240)
 SECONDS = 10.0
@@ -28,14 +28,14 @@
 
 
 def _measure(rate: int) -> Mapping[str, float]:
-    path = scenario.find("calm-day")
+    path = scenario.scenario_path("calm-day")
     changes: dict[str, object] = {
         "traffic.rate": float(rate),
         "senders.count": 1,
         "scenario.length_s": SECONDS,
         "kinds.1.connections": 0,
     }
-    world = build(scenario.changed(scenario.read(path), changes, path))
+    world = build_world(scenario.with_changes(scenario.read(path), changes, path))
     played = play(world)
     if played.not_a_result:
         raise MeasuredNodeError(played.not_a_result)
--- a/irisstack/lab/capacity_search.py
+++ b/irisstack/lab/capacity_search.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from irisstack.lab import charts, results
-from irisstack.lab.report import page, tabled, write
-from irisstack.lab.scenario import Scenario, changed
+from irisstack.lab.report import render_page, table_section, write_atomically
+from irisstack.lab.scenario import Scenario, with_changes
 from irisstack.lab.sockets.play import play
-from irisstack.lab.world import build
+from irisstack.lab.world import build_world
 
 RATE_FACTOR = 1.4
 """Ratio of one step's rate to the step before."""
@@ -52,14 +52,14 @@
     """Play step after step, until one is saturated or no result, or all have been played."""
     rate = first
     for number in range(steps):
-        step_scenario = changed(
+        step_scenario = with_changes(
             scenario,
             {"traffic.rate": rate, "senders.count": 1, "scenario.length_s": length, "troubles": []},
             Path(scenario.scenario.name),
         )
-        world = build(step_scenario)
+        world = build_world(step_scenario)
         played = play(world, None, partial(_report_progress, progress, number, steps))
-        run, score, _ = results.audited(
+        run, score, _ = results.audit_run(
             world,
             played.ledger,
             way="sockets",
@@ -143,11 +143,13 @@
         "refused": [(s.rate, s.refused) for s in steps],
         "core busy": [(s.rate, s.core_share) for s in steps],
     }
-    section = tabled(
+    section = table_section(
         "Steps",
         COLUMNS,
         rows(steps),
         "Stand-ins and load share the machine with the node.",
-        charts.curves(curves, "messages a second", "share", log_x=True),
+        charts.curve_chart(curves, "messages a second", "share", log_x=True),
+    )
+    write_atomically(
+        path, render_page(f"Capacity of one node: {name}", "", [("note", summary(steps))], [section])
     )
-    write(path, page(f"Capacity of one node: {name}", "", [("note", summary(steps))], [section]))
--- a/irisstack/lab/charts.py
+++ b/irisstack/lab/charts.py
@@ -27,7 +27,7 @@
     return figure, axes
 
 
-def over_time(
+def time_series_chart(
     lines: Mapping[str, Sequence[tuple[float, float]]],
     what: str,
     spans: Sequence[tuple[float, float, str]] = (),
@@ -47,7 +47,7 @@
     return _svg(figure)
 
 
-def intervals(rows: Mapping[str, Mapping[str, tuple[float, float, float]]], what: str) -> str:
+def interval_chart(rows: Mapping[str, Mapping[str, tuple[float, float, float]]], what: str) -> str:
     """For each group a point with its interval for each variant: (low, middle, high)."""
     groups = list(rows)
     figure, axes = _axes((8.0, 1.0 + 0.5 * len(groups)))
@@ -69,7 +69,9 @@
     return _svg(figure)
 
 
-def curves(lines: Mapping[str, Sequence[tuple[float, float]]], x: str, y: str, *, log_x: bool = False) -> str:
+def curve_chart(
+    lines: Mapping[str, Sequence[tuple[float, float]]], x: str, y: str, *, log_x: bool = False
+) -> str:
     """Curves over any quantity."""
     figure, axes = _axes((6.0, 3.0))
     for name, points in lines.items():
--- a/irisstack/lab/compare.py
+++ b/irisstack/lab/compare.py
@@ -31,19 +31,19 @@
         return self.mean_b - self.mean_a
 
     @property
-    def seen(self) -> bool:
+    def significant(self) -> bool:
         """Whether the interval leaves zero out."""
         return self.pairs > 1 and (self.low > 0.0 or self.high < 0.0)
 
-    def words(self, a: str, b: str) -> str:
+    def conclusion(self, a: str, b: str) -> str:
         """The outcome in plain words."""
-        if not self.seen:
+        if not self.significant:
             return "no difference seen"
         better = (self.difference > 0.0) != (self.metric in LESS_IS_BETTER)
         return f"{b if better else a} is better"
 
 
-def interval(values: Sequence[float]) -> tuple[float, float]:
+def bootstrap_interval(values: Sequence[float]) -> tuple[float, float]:
     """The mean's interval by the bootstrap (bias-corrected and accelerated), the same at each call."""
     data = np.asarray(values, dtype=float)
     if data.size < 2 or np.ptp(data) == 0.0:
@@ -66,7 +66,7 @@
         for metric in metrics:
             left = [float(getattr(by_seed_a[key], metric)) for key in keys]
             right = [float(getattr(by_seed_b[key], metric)) for key in keys]
-            low, high = interval([y - x for x, y in zip(left, right, strict=True)])
+            low, high = bootstrap_interval([y - x for x, y in zip(left, right, strict=True)])
             found.append(
                 Difference(
                     scenario, metric, len(keys), float(np.mean(left)), float(np.mean(right)), low, high
@@ -87,11 +87,11 @@
     high: float
     whole: float
     waste: float
-    broken: int
+    runs_with_breaches: int
     """Runs that broke a rule."""
 
 
-def summaries(runs: Sequence[Run]) -> list[Summary]:
+def summarize(runs: Sequence[Run]) -> list[Summary]:
     """Each scenario and variant over its seeds; runs that break a rule are counted beside the means."""
     groups: dict[tuple[str, str], list[Run]] = {}
     for run in runs:
@@ -99,7 +99,7 @@
     found = []
     for (scenario, variant), group in groups.items():
         scores = [run.score for run in group]
-        low, high = interval(scores)
+        low, high = bootstrap_interval(scores)
         found.append(
             Summary(
                 scenario,
--- a/irisstack/lab/experiment.py
+++ b/irisstack/lab/experiment.py
@@ -19,10 +19,10 @@
 from irisstack.lab import results
 from irisstack.lab.baselines import POLICIES
 from irisstack.lab.results import Run
-from irisstack.lab.scenario import Scenario, changed, find
+from irisstack.lab.scenario import Scenario, scenario_path, with_changes
 from irisstack.lab.scenario import read as read_scenario
 from irisstack.lab.virtual.play import play
-from irisstack.lab.world import build
+from irisstack.lab.world import build_world
 
 
 class About(Section):
@@ -82,18 +82,18 @@
     return document.read(path, Experiment)
 
 
-def jobs(experiment: Experiment, path: Path) -> list[Job]:
+def build_jobs(experiment: Experiment, path: Path) -> list[Job]:
     """All runs, seed by seed, so that an interrupted sweep has whole pairs; raises `DocumentError`."""
     found: list[tuple[Scenario, Variant, str]] = []
     names: set[str] = set()
     for name in experiment.experiment.scenarios:
-        place = find(name)
+        place = scenario_path(name)
         scenario = read_scenario(place if place.is_absolute() else path.parent / place)
         if scenario.scenario.name in names:
             raise DocumentError(path, [Problem("experiment.scenarios", f"{name!r} stands twice")])
         names.add(scenario.scenario.name)
         for variant in experiment.variants:
-            other = changed(scenario, variant.set, path) if variant.set else scenario
+            other = with_changes(scenario, variant.set, path) if variant.set else scenario
             found.append((other, variant, fingerprint(other, variant.policy)))
     return [
         Job(scenario, variant.name, variant.policy, seed, mark)
@@ -110,9 +110,9 @@
 
 def play_job(job: Job) -> Run:
     """Play one run in virtual time."""
-    world = build(job.scenario, job.seed)
+    world = build_world(job.scenario, job.seed)
     played = play(world, POLICIES[job.policy])
-    run, _, _ = results.audited(
+    run, _, _ = results.audit_run(
         world,
         played.ledger,
         way="model",
@@ -126,7 +126,7 @@
     return run
 
 
-def kept(path: Path) -> list[Run]:
+def load_runs(path: Path) -> list[Run]:
     """The runs in a file of results; a last line that was cut off by a kill is passed over."""
     if not path.exists():
         return []
@@ -151,7 +151,7 @@
     progress: Callable[[int, int], None] = lambda done, of: None,
 ) -> Iterator[Run]:
     """Play what a file of results lacks, and append each run to it as it ends."""
-    have = {(run.scenario, run.variant, run.seed, run.fingerprint): run for run in kept(path)}
+    have = {(run.scenario, run.variant, run.seed, run.fingerprint): run for run in load_runs(path)}
     todo = [job for job in work if job.key not in have]
     done = len(work) - len(todo)
     progress(done, len(work))
--- a/irisstack/lab/lateness.py
+++ b/irisstack/lab/lateness.py
@@ -8,23 +8,23 @@
 """Seconds between two looks."""
 
 
-class Lateness:
+class LatenessMonitor:
     """What was seen of it."""
 
     def __init__(self) -> None:
-        self.seen: list[float] = []
+        self.samples: list[float] = []
 
-    def watch(self) -> None:
+    def run(self) -> None:
         """Look for ever."""
         while True:
             due = time.monotonic() + LOOK
             gevent.sleep(LOOK)
-            self.seen.append(max(0.0, time.monotonic() - due))
+            self.samples.append(max(0.0, time.monotonic() - due))
 
-    def at(self, share: float) -> float:
+    def quantile(self, share: float) -> float:
         """Seconds that this share of the looks did not exceed."""
-        return sorted(self.seen)[int((len(self.seen) - 1) * share)] if self.seen else 0.0
+        return sorted(self.samples)[int((len(self.samples) - 1) * share)] if self.samples else 0.0
 
     @property
-    def most(self) -> float:
-        return max(self.seen, default=0.0)
+    def maximum(self) -> float:
+        return max(self.samples, default=0.0)
--- a/irisstack/lab/ledger.py
+++ b/irisstack/lab/ledger.py
@@ -148,7 +148,7 @@
     partial.replace(path)
 
 
-def lines(ledger: Iterable[Entry]) -> Iterator[bytes]:
+def encoded_lines(ledger: Iterable[Entry]) -> Iterator[bytes]:
     """The ledger's bytes, line by line."""
     encoder = msgspec.json.Encoder()
     return (encoder.encode(entry) for entry in ledger)
--- a/irisstack/lab/limits.py
+++ b/irisstack/lab/limits.py
@@ -11,17 +11,17 @@
     factor: float
     """The part of the limit that is in force; troubles lower it."""
 
-    def take(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         """0.0 if the call is taken, else the seconds until there is room."""
 
-    def room(self, now: float) -> float:
+    def available_calls(self, now: float) -> float:
         """Calls that it would take now."""
 
-    def left(self, now: float) -> float:
+    def available_share(self, now: float) -> float:
         """The share of the limit that is left, from 0 to 1."""
 
 
-class RateLimiter:
+class TokenBucketLimiter:
     """A plain rate: tokens that come back evenly, a second's worth at most."""
 
     def __init__(self, rate: float, refused_use_it: bool) -> None:
@@ -39,7 +39,7 @@
         self._tokens = min(self._most, self._tokens + (now - self._at) * self._rate * self.factor)
         self._at = now
 
-    def take(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         self._refill(now)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
@@ -49,15 +49,15 @@
             self._tokens = max(1.0 - self._most, self._tokens - 1.0)
         return (1.0 - self._tokens) / (self._rate * self.factor)
 
-    def room(self, now: float) -> float:
+    def available_calls(self, now: float) -> float:
         self._refill(now)
         return self._tokens
 
-    def left(self, now: float) -> float:
-        return max(0.0, min(1.0, self.room(now) / self._most))
+    def available_share(self, now: float) -> float:
+        return max(0.0, min(1.0, self.available_calls(now) / self._most))
 
 
-class SpanLimiter:
+class FixedWindowLimiter:
     """A count in each span of fixed length."""
 
     def __init__(self, rate: float, span: float, refused_use_it: bool) -> None:
@@ -78,7 +78,7 @@
             self._used = min(max(0.0, self._used - self._most), self._most / 2.0)
             self._ends = (now // self._span + 1.0) * self._span
 
-    def take(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         self._roll(now)
         if self._used + 1.0 <= self._most:
             self._used += 1.0
@@ -87,16 +87,16 @@
             self._used += 1.0
         return self._ends - now
 
-    def room(self, now: float) -> float:
+    def available_calls(self, now: float) -> float:
         self._roll(now)
         return self._most - self._used
 
-    def left(self, now: float) -> float:
-        return max(0.0, self.room(now) / self._most)
+    def available_share(self, now: float) -> float:
+        return max(0.0, self.available_calls(now) / self._most)
 
 
-def limiter(limit: Limit, rate: float) -> Limiter:
+def make_limiter(limit: Limit, rate: float) -> Limiter:
     """The limiter that a scenario asks for, at a rate in calls a second."""
     if limit.form == "span":
-        return SpanLimiter(rate, limit.span_s, limit.refused_use_it)
-    return RateLimiter(rate, limit.refused_use_it)
+        return FixedWindowLimiter(rate, limit.span_s, limit.refused_use_it)
+    return TokenBucketLimiter(rate, limit.refused_use_it)
--- a/irisstack/lab/partner.py
+++ b/irisstack/lab/partner.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Literal, Protocol
 
-from irisstack.lab.limits import Limiter, limiter
+from irisstack.lab.limits import Limiter, make_limiter
 from irisstack.lab.sampling import RandomStreams
 from irisstack.lab.scenario import Cold, Kind, MessageClass
 from irisstack.lab.world import DestinationSpec, EndpointSpec, World
@@ -44,8 +44,8 @@
 
     node: int
     items: Sequence[Item]
-    fresh: bool  # the first on its connection
-    left: bool = False  # its sender has given it up
+    new_connection: bool  # the first on its connection
+    abandoned: bool = False  # its sender has given it up
     ended: bool = False
 
 
@@ -54,29 +54,29 @@
     """What an endpoint answers; `wait` in seconds, 0 for none told."""
 
     status: Status
-    wait: float = 0.0
+    retry_after: float = 0.0
     report: tuple[float, ...] = ()
 
 
 class Host(Protocol):
     """Who carries out what a partner wants done."""
 
-    def after(self, delay: float, act: Callable[..., None], *arguments: object) -> None:
+    def call_later(self, delay: float, act: Callable[..., None], *arguments: object) -> None:
         """Call `act(now, *arguments)` that many seconds from now."""
 
-    def answer(self, now: float, endpoint: "Endpoint", call: PartnerCall, answer: Answer) -> None:
+    def send_answer(self, now: float, endpoint: "Endpoint", call: PartnerCall, answer: Answer) -> None:
         """Write an answer."""
 
-    def spoil(self, now: float, endpoint: "Endpoint", call: PartnerCall) -> None:
+    def send_malformed_answer(self, now: float, endpoint: "Endpoint", call: PartnerCall) -> None:
         """Write something that is no answer, and end the connection."""
 
-    def cut(self, now: float, endpoint: "Endpoint", call: PartnerCall) -> None:
+    def drop_connection(self, now: float, endpoint: "Endpoint", call: PartnerCall) -> None:
         """End the call's connection without an answer."""
 
-    def ran(self, now: float, endpoint: "Endpoint", item: Item, effect: bool) -> None:
+    def message_executed(self, now: float, endpoint: "Endpoint", item: Item, effect: bool) -> None:
         """A message has been carried out."""
 
-    def fell(self, now: float, destination: int) -> None:
+    def destination_overloaded(self, now: float, destination: int) -> None:
         """A cold destination was pushed over."""
 
 
@@ -85,33 +85,33 @@
     """What is wrong with an endpoint just now; troubles set and clear it."""
 
     silent: bool = False
-    shut_until: float = 0.0
-    shut_tells: float = 0.0
+    refuses_until: float = 0.0
+    retry_after_probability: float = 0.0
     refuses_connections: bool = False
-    host_gone: bool = False
+    host_unreachable: bool = False
     draining: bool = False
-    slower: float = 1.0
-    fails: float = 0.0
-    failing_classes: dict[int, float] = field(default_factory=dict)
-    resets: float = 0.0
-    loses_answers: float = 0.0
-    spoils_answers: float = 0.0
-    runs: float = 0.5
-    pause_every: float = 0.0
-    pause_for: float = 0.0
-    pauses_from: float = 0.0
-    idle_drop: float = 0.0
+    slowdown: float = 1.0
+    error_probability: float = 0.0
+    class_error_probability: dict[int, float] = field(default_factory=dict)
+    reset_probability: float = 0.0
+    answer_loss_probability: float = 0.0
+    malformed_answer_probability: float = 0.0
+    execution_probability: float = 0.5
+    pause_period: float = 0.0
+    pause_duration: float = 0.0
+    pauses_start: float = 0.0
+    idle_timeout: float = 0.0
 
     def pause_end(self, now: float) -> float:
         """When the present pause ends, or 0.0."""
-        if not self.pause_every:
+        if not self.pause_period:
             return 0.0
-        into = (now - self.pauses_from) % self.pause_every
-        left = self.pause_for - into
+        into = (now - self.pauses_start) % self.pause_period
+        left = self.pause_duration - into
         return now + left if left > TICK else 0.0
 
 
-class Strength:
+class Warmup:
     """How much a destination can do after an outage, and how it falls over: a feedback, not a flag.
 
     Load above what it bears fills a tank that empties at the load which it bears; a full tank takes the
@@ -125,17 +125,17 @@
         self._level = 0.0
         self._at = 0.0
 
-    def came_back(self, now: float) -> None:
+    def begin(self, now: float) -> None:
         self._returned, self._level, self._at = now, 0.0, now
 
-    def share(self, now: float) -> float:
+    def capacity_share(self, now: float) -> float:
         """The part of its capacity that it has."""
         warm = (now - self._returned) / self._cold.warm_s
         return 1.0 if warm >= 1.0 else self._cold.start + (1.0 - self._cold.start) * max(0.0, warm)
 
-    def load(self, now: float, amount: float) -> bool:
+    def add_load(self, now: float, amount: float) -> bool:
         """Take a call's load, in single calls; returns whether it was too much."""
-        share = self.share(now)
+        share = self.capacity_share(now)
         if share >= 1.0:
             return False
         bearable = self._capacity * share * self._cold.tip_multiple
@@ -143,9 +143,9 @@
         self._at = now
         return self._level > max(LEAST_DEPTH, bearable * self._cold.tip_s)
 
-    def room(self, now: float) -> float:
+    def available_calls(self, now: float) -> float:
         """Calls that it would bear now, with a fifth to spare."""
-        share = self.share(now)
+        share = self.capacity_share(now)
         if share >= 1.0:
             return float("inf")
         bearable = self._capacity * share * self._cold.tip_multiple
@@ -159,29 +159,29 @@
     def __init__(self, spec: DestinationSpec, world: World, host: Host) -> None:
         self.spec = spec
         self.kind: Kind = spec.kind
-        self.classes: Sequence[MessageClass] = world.scenario.classes
+        self.message_classes: Sequence[MessageClass] = world.scenario.classes
         self.limiter: Limiter | None = None
         if spec.kind.limit is not None:
-            self.limiter = limiter(spec.kind.limit, spec.limit)
-        self.strength = Strength(spec.kind.cold, spec.capacity)
+            self.limiter = make_limiter(spec.kind.limit, spec.rate_limit)
+        self.warmup = Warmup(spec.kind.cold, spec.capacity)
         self.endpoints: dict[int, Endpoint] = {}
-        self.fallen_until = 0.0
-        self.reports = world.scenario.endpoint_list.reports and self.limiter is not None
+        self.down_until = 0.0
+        self.sends_reports = world.scenario.endpoint_list.reports and self.limiter is not None
         self._host = host
         self._keys: dict[int, float] = {}
         self._looked = 0
         self._report: tuple[float, ...] = ()
         self._report_at = -1e9
         for endpoint in spec.endpoints:
-            self.add(endpoint, world.streams)
+            self.add_endpoint(endpoint, world.streams)
 
-    def add(self, spec: EndpointSpec, streams: RandomStreams) -> "Endpoint":
+    def add_endpoint(self, spec: EndpointSpec, streams: RandomStreams) -> "Endpoint":
         endpoint = self.endpoints[spec.number] = Endpoint(spec, self, streams, self._host)
         return endpoint
 
-    def remembers(self, now: float, item: Item) -> bool:
+    def is_duplicate(self, now: float, item: Item) -> bool:
         """Whether a repeat of this message is dropped; the first one is remembered from now on."""
-        kind = self.classes[item.message_class]
+        kind = self.message_classes[item.message_class]
         if kind.repeat != "keyed":
             return False
         self._looked += 1
@@ -193,31 +193,34 @@
         self._keys[item.chain] = now + kind.window_s
         return False
 
-    def report(self, now: float) -> tuple[float, ...]:
+    def load_report(self, now: float) -> tuple[float, ...]:
         """The share left of its limit and the limit in calls a second, a little stale."""
-        if self.limiter is None or not self.reports:
+        if self.limiter is None or not self.sends_reports:
             return ()
         if now - self._report_at >= REPORT_EVERY:
-            self._report = (round(self.limiter.left(now), 2), self.spec.limit * self.limiter.factor)
+            self._report = (
+                round(self.limiter.available_share(now), 2),
+                self.spec.rate_limit * self.limiter.factor,
+            )
             self._report_at = now
         return self._report
 
-    def takes(self, now: float, coming: int) -> bool:
+    def has_capacity(self, now: float, coming: int) -> bool:
         """Whether limit and strength would take one more call, with so many on their way."""
         heaviest = 1.0 + self.kind.shared_part * (self.kind.shared_calls - 1)
         return (
-            now >= self.fallen_until
-            and (self.limiter is None or self.limiter.room(now) >= coming + 1)
-            and self.strength.room(now) >= heaviest * (coming + 1)
+            now >= self.down_until
+            and (self.limiter is None or self.limiter.available_calls(now) >= coming + 1)
+            and self.warmup.available_calls(now) >= heaviest * (coming + 1)
         )
 
-    def fall(self, now: float) -> None:
+    def fail_from_overload(self, now: float) -> None:
         """Pushed over: all that it holds is lost, and it is down for a while."""
-        self.fallen_until = now + self.kind.cold.fallen_s
-        self.strength.came_back(self.fallen_until)
-        self._host.fell(now, self.spec.number)
+        self.down_until = now + self.kind.cold.fallen_s
+        self.warmup.begin(self.down_until)
+        self._host.destination_overloaded(now, self.spec.number)
         for endpoint in self.endpoints.values():
-            endpoint.lose_all(now)
+            endpoint.drop_all_calls(now)
 
 
 class Endpoint:
@@ -229,7 +232,7 @@
         self.spec = spec
         self.destination = destination
         self.conditions = Conditions()
-        self.connections = 0
+        self.connection_count = 0
         self._host = host
         self._chance = streams.uniform("endpoint", spec.number)
         self._running: set[PartnerCall] = set()
@@ -238,54 +241,54 @@
 
     # ---- connections ----
 
-    def accepts(self, now: float) -> bool | None:
+    def accepts_connections(self, now: float) -> bool | None:
         """Whether a new connection is taken; `None` if nothing answers at all."""
         conditions = self.conditions
-        if conditions.host_gone:
+        if conditions.host_unreachable:
             return None
-        if conditions.refuses_connections or now < self.destination.fallen_until:
+        if conditions.refuses_connections or now < self.destination.down_until:
             return False
-        return not self.spec.connections or self.connections < self.spec.connections
+        return not self.spec.max_connections or self.connection_count < self.spec.max_connections
 
-    def dropped(self, idle: float) -> bool:
+    def drops_idle_connection(self, idle: float) -> bool:
         """Whether a connection idle for so long has been dropped on the way, unseen by either end."""
-        return 0.0 < self.conditions.idle_drop < idle
+        return 0.0 < self.conditions.idle_timeout < idle
 
-    def room(self, now: float) -> int:
+    def available_slots(self, now: float) -> int:
         """Calls that it would take in now and answer."""
         c = self.conditions
         if (
             c.silent
-            or c.host_gone
+            or c.host_unreachable
             or c.refuses_connections
             or c.draining
-            or now < c.shut_until
-            or c.fails >= 0.5
-            or c.loses_answers >= 0.5
-            or c.spoils_answers >= 0.5
-            or c.resets >= 0.5
+            or now < c.refuses_until
+            or c.error_probability >= 0.5
+            or c.answer_loss_probability >= 0.5
+            or c.malformed_answer_probability >= 0.5
+            or c.reset_probability >= 0.5
         ):
             return 0
-        return self.spec.at_once + min(1, self.spec.queue) - len(self._running) - len(self._line)
+        return self.spec.concurrency + min(1, self.spec.queue_limit) - len(self._running) - len(self._line)
 
     # ---- calls ----
 
-    def arrive(self, now: float, call: PartnerCall) -> None:
+    def receive(self, now: float, call: PartnerCall) -> None:
         """A call's last byte has come."""
         destination, conditions = self.destination, self.conditions
-        if now < destination.fallen_until:
-            self._host.cut(now, self, call)
+        if now < destination.down_until:
+            self._host.drop_connection(now, self, call)
             return
-        if conditions.host_gone:
+        if conditions.host_unreachable:
             return
         self._held[call] = None
         if conditions.silent:
-            if self._chance() < conditions.runs:
+            if self._chance() < conditions.execution_probability:
                 self._carry_out(now, call)
             return
         pause = conditions.pause_end(now)
         if pause:
-            self._host.after(pause - now, self._take, call)
+            self._host.call_later(pause - now, self._take, call)
         else:
             self._take(now, call)
 
@@ -294,106 +297,119 @@
         if call.ended:
             return
         # A further message of a shared call weighs what it adds to the call's work.
-        if destination.strength.load(now, 1.0 + destination.kind.shared_part * (len(call.items) - 1)):
-            destination.fall(now)
+        if destination.warmup.add_load(now, 1.0 + destination.kind.shared_part * (len(call.items) - 1)):
+            destination.fail_from_overload(now)
             return
-        if now < conditions.shut_until:
-            tells = self._chance() < conditions.shut_tells
-            self._answer(now, call, Answer("refused", conditions.shut_until - now if tells else 0.0))
+        if now < conditions.refuses_until:
+            tells = self._chance() < conditions.retry_after_probability
+            self._answer(now, call, Answer("refused", conditions.refuses_until - now if tells else 0.0))
             return
         if conditions.draining:
             self._answer(now, call, Answer("refused"))
             return
         fails = (
-            max((conditions.failing_classes.get(item.message_class, 0.0) for item in call.items), default=0.0)
-            if conditions.failing_classes
+            max(
+                (conditions.class_error_probability.get(item.message_class, 0.0) for item in call.items),
+                default=0.0,
+            )
+            if conditions.class_error_probability
             else 0.0
         )
-        if (fails or conditions.fails) and self._chance() < max(fails, conditions.fails):
-            if self._chance() < conditions.runs:
+        if (fails or conditions.error_probability) and self._chance() < max(
+            fails, conditions.error_probability
+        ):
+            if self._chance() < conditions.execution_probability:
                 self._carry_out(now, call)
-            self._host.after(FAST, self._answer, call, Answer("error"))
+            self._host.call_later(FAST, self._answer, call, Answer("error"))
             return
-        if destination.limiter is not None and (wait := destination.limiter.take(now)):
+        if destination.limiter is not None and (wait := destination.limiter.acquire(now)):
             limit = destination.kind.limit
             tells = limit is not None and self._chance() < limit.tells_wait
-            self._answer(now, call, Answer("refused", wait if tells else 0.0, destination.report(now)))
+            self._answer(now, call, Answer("refused", wait if tells else 0.0, destination.load_report(now)))
             return
-        if conditions.resets and self._chance() < conditions.resets:
-            if self._chance() < conditions.runs:
+        if conditions.reset_probability and self._chance() < conditions.reset_probability:
+            if self._chance() < conditions.execution_probability:
                 self._carry_out(now, call)
             self._end(call)
-            self._host.cut(now, self, call)
+            self._host.drop_connection(now, self, call)
             return
-        if len(self._running) < self.spec.at_once:
+        if len(self._running) < self.spec.concurrency:
             self._start(now, call)
-        elif len(self._line) < self.spec.queue:
+        elif len(self._line) < self.spec.queue_limit:
             self._line.append(call)
         else:
-            self._answer(now, call, Answer("refused", 0.0, destination.report(now)))
+            self._answer(now, call, Answer("refused", 0.0, destination.load_report(now)))
 
-    def gone(self, call: PartnerCall) -> None:
+    def abandon(self, call: PartnerCall) -> None:
         """The call's sender has given it up."""
-        call.left = True
+        call.abandoned = True
         self._held.pop(call, None)
 
     def _start(self, now: float, call: PartnerCall) -> None:
         destination, kind = self.destination, self.destination.kind
         self._running.add(call)
         work = sorted(
-            (item.work * destination.classes[item.message_class].work_s for item in call.items), reverse=True
+            (item.work * destination.message_classes[item.message_class].work_s for item in call.items),
+            reverse=True,
+        )
+        seconds = (work[0] + kind.shared_part * sum(work[1:])) * destination.spec.duration_factor
+        seconds *= self.conditions.slowdown / destination.warmup.capacity_share(now)
+        self._host.call_later(
+            seconds + (kind.handshake_s if call.new_connection else 0.0), self._finish, call
         )
-        seconds = (work[0] + kind.shared_part * sum(work[1:])) * destination.spec.pace
-        seconds *= self.conditions.slower / destination.strength.share(now)
-        self._host.after(seconds + (kind.handshake_s if call.fresh else 0.0), self._finish, call)
 
     def _finish(self, now: float, call: PartnerCall) -> None:
         if call not in self._running:
             return  # lost when the destination fell over
         pause = self.conditions.pause_end(now)
         if pause:
-            self._host.after(pause - now, self._finish, call)
+            self._host.call_later(pause - now, self._finish, call)
             return
         self._running.remove(call)
         self._carry_out(now, call)
         conditions = self.conditions
         if (
             conditions.silent
-            or conditions.host_gone
-            or (conditions.loses_answers and self._chance() < conditions.loses_answers)
+            or conditions.host_unreachable
+            or (conditions.answer_loss_probability and self._chance() < conditions.answer_loss_probability)
         ):
             pass  # carried out, and nobody hears of it
-        elif conditions.spoils_answers and self._chance() < conditions.spoils_answers:
+        elif (
+            conditions.malformed_answer_probability
+            and self._chance() < conditions.malformed_answer_probability
+        ):
             self._end(call)
-            self._host.spoil(now, self, call)
+            self._host.send_malformed_answer(now, self, call)
         else:
             rate = self.destination.kind.error_rate
             failed = rate > 0.0 and self._chance() < rate
-            self._answer(now, call, Answer("error" if failed else "ok", 0.0, self.destination.report(now)))
+            self._answer(
+                now, call, Answer("error" if failed else "ok", 0.0, self.destination.load_report(now))
+            )
         self._next(now)
 
     def _next(self, now: float) -> None:
-        while self._line and len(self._running) < self.spec.at_once:
+        while self._line and len(self._running) < self.spec.concurrency:
             call = self._line.popleft()
-            if not call.left or self.destination.kind.cancelled_run_on:
+            if not call.abandoned or self.destination.kind.cancelled_run_on:
                 self._start(now, call)
 
     def _carry_out(self, now: float, call: PartnerCall) -> None:
         for item in call.items:
-            self._host.ran(now, self, item, not self.destination.remembers(now, item))
+            self._host.message_executed(now, self, item, not self.destination.is_duplicate(now, item))
 
     def _answer(self, now: float, call: PartnerCall, answer: Answer) -> None:
-        if self.conditions.silent or self.conditions.host_gone:
+        if self.conditions.silent or self.conditions.host_unreachable:
             return
         self._end(call)
-        if not call.left:
-            self._host.answer(now, self, call, answer)
+        if not call.abandoned:
+            self._host.send_answer(now, self, call, answer)
 
     def _end(self, call: PartnerCall) -> None:
         call.ended = True
         self._held.pop(call, None)
 
-    def lose_all(self, now: float) -> None:
+    def drop_all_calls(self, now: float) -> None:
         """Everything that is held here ends without an answer: the system is down, or its process is new."""
         held = list(self._held)
         self._held.clear()
@@ -401,5 +417,5 @@
         self._running.clear()
         for call in held:
             call.ended = True
-            if not call.left and not self.conditions.host_gone:
-                self._host.cut(now, self, call)
+            if not call.abandoned and not self.conditions.host_unreachable:
+                self._host.drop_connection(now, self, call)
--- a/irisstack/lab/policy.py
+++ b/irisstack/lab/policy.py
@@ -14,20 +14,20 @@
         """Take all that came at one time and answer with what to do about it."""
 
 
-class Truth(Protocol):
+class Oracle(Protocol):
     """What no sender can see; for the upper bound alone."""
 
-    def place(self, now: float, destination: int) -> api.Address | None:
+    def find_endpoint(self, now: float, destination: int) -> api.Address | None:
         """An endpoint that would serve a call leaving now; `None` if there is none."""
 
-    def claim(self, now: float, destination: int) -> api.Address | None:
+    def reserve_endpoint(self, now: float, destination: int) -> api.Address | None:
         """The same, and the room is taken."""
 
 
-Maker = Callable[[api.Settings, int, Truth], Policy]
+PolicyFactory = Callable[[api.Settings, int, Oracle], Policy]
 """Makes a node's policy from its settings and a seed."""
 
 
-def module(settings: api.Settings, seed: int, truth: Truth) -> Policy:
+def decision_module(settings: api.Settings, seed: int, truth: Oracle) -> Policy:
     """The decision module of this program."""
     return Sender(settings, seed)
--- a/irisstack/lab/report.py
+++ b/irisstack/lab/report.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Section:
+class PageSection:
     """One part of a page."""
 
     title: str
@@ -34,25 +34,27 @@
     numeric: set[int] = field(default_factory=set)
 
 
-def tabled(
+def table_section(
     title: str, columns: Sequence[str], rows: Sequence[Sequence[Any]], note: str = "", svg: str = ""
-) -> Section:
+) -> PageSection:
     """A section with a table; numbers stand to the right."""
     numeric = {i for i in range(len(columns)) if any(isinstance(row[i], int | float) for row in rows)}
-    return Section(title, note, svg, columns, [[_text(value) for value in row] for row in rows], numeric)
+    return PageSection(title, note, svg, columns, [[_text(value) for value in row] for row in rows], numeric)
 
 
 def _text(value: Any) -> str:
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
-def page(title: str, about: str, verdicts: Sequence[tuple[str, str]], sections: Sequence[Section]) -> str:
+def render_page(
+    title: str, about: str, verdicts: Sequence[tuple[str, str]], sections: Sequence[PageSection]
+) -> str:
     """The whole page; a verdict is a class (`good`, `bad`, `note`) and a line."""
     template = Environment(loader=PackageLoader("irisstack.lab"), autoescape=True).get_template("page.html")
     return template.render(title=title, about=about, verdicts=verdicts, sections=sections)
 
 
-def verdicts(run: Run) -> list[tuple[str, str]]:
+def run_verdicts(run: Run) -> list[tuple[str, str]]:
     """What a reader must know first."""
     lines = []
     if run.not_a_result:
@@ -75,46 +77,49 @@
     return lines
 
 
-def of_run(
+def run_page(
     world: World, run: Run, score: RunScore, breaches: dict[str, list[Breach]], entries: records.Ledger
 ) -> str:
     """The page of one run."""
-    spans = [(i.begins, i.ends, i.trouble.kind) for i in world.incidents]
+    spans = [(i.starts_at, i.ends_at, i.trouble.kind) for i in world.incidents]
     ends = [
         [name, *(count.get(result, 0) for result in RESULTS), run.by_class[name]]
         for name, count in run.ends_by_class.items()
     ]
     sections = [
-        tabled(
+        table_section(
             "What became of the messages",
             ["class", *RESULTS, "worth"],
             ends,
             f"{run.asked} messages, {run.attempts} attempts, {run.waste:.3f} attempts in vain for each.",
         ),
-        tabled(
+        table_section(
             "Troubles",
             ["what", "from s", "to s", "strikes"],
-            [[i.trouble.kind, i.begins, i.ends, _struck(i.destinations, i.nodes)] for i in world.incidents],
+            [
+                [i.trouble.kind, i.starts_at, i.ends_at, _struck(i.destinations, i.nodes)]
+                for i in world.incidents
+            ],
         ),
-        Section(
+        PageSection(
             "Worth over time",
             "Of the messages asked for in each second. Troubles are shaded.",
-            charts.over_time({"worth": score.over_time}, "share", spans, 1.02),
+            charts.time_series_chart({"worth": score.over_time}, "share", spans, 1.02),
         ),
-        Section(
+        PageSection(
             "Messages under way",
             "Owed by the nodes, and of these in calls.",
-            charts.over_time(_under_way(entries), "messages", spans),
+            charts.time_series_chart(_under_way(entries), "messages", spans),
         ),
-        Section("Ends each second", "", charts.over_time(_ends(entries), "a second", spans)),
-        tabled(
+        PageSection("Ends each second", "", charts.time_series_chart(_ends(entries), "a second", spans)),
+        table_section(
             "Seconds until delivery",
             ["class", *(f"{p:g} %" for p in PERCENTILES)],
             [[name, *values] for name, values in run.delays.items() if values],
             "Counted from when a message was first due to be handed in.",
         ),
-        tabled("Rules", ["rule", "broken"], [[name, count] for name, count in run.breaches.items()]),
-        tabled(
+        table_section("Rules", ["rule", "broken"], [[name, count] for name, count in run.breaches.items()]),
+        table_section(
             "What broke them",
             ["rule", "s", "node", "message", "what"],
             [
@@ -124,17 +129,17 @@
             ],
             f"The first {MOST_BREACHES} of each rule; the ledger has all.",
         ),
-        tabled(
+        table_section(
             "Destinations",
             ["number", "kind", "messages", "delivered", "worth"],
             _destinations(world, score),
             f"The {MOST_ROWS} with the least worth, where there are more.",
         ),
-        tabled("Made with", ["what", "version"], [*run.versions.items(), ("seed", str(run.seed))]),
+        table_section("Made with", ["what", "version"], [*run.versions.items(), ("seed", str(run.seed))]),
     ]
     name = f"{run.scenario}: {run.policy}, {'virtual time' if run.way == 'model' else 'real sockets'}"
     kept = [section for section in sections if section.svg or section.rows]
-    return page(name, world.scenario.scenario.shows, verdicts(run), kept)
+    return render_page(name, world.scenario.scenario.shows, run_verdicts(run), kept)
 
 
 RESULTS = ("delivered", "refused", "failed", "withdrawn", "none")
@@ -187,7 +192,7 @@
     }
 
 
-def write(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Write a page, never half of it to a reader; raises `OSError`."""
     partial = path.with_name(path.name + ".part")
     partial.write_text(text, encoding="utf-8")
--- a/irisstack/lab/results.py
+++ b/irisstack/lab/results.py
@@ -11,7 +11,7 @@
 
 from irisstack.lab import ledger as records
 from irisstack.lab.audit import rules, scoring
-from irisstack.lab.audit.figures import Figures, figures_of
+from irisstack.lab.audit.parameters import AuditParameters, audit_parameters
 from irisstack.lab.scenario import Scenario
 from irisstack.lab.world import World
 
@@ -60,7 +60,7 @@
         return not any(self.breaches.values())
 
 
-def versions() -> dict[str, str]:
+def installed_versions() -> dict[str, str]:
     """What the figures were taken with."""
     found = {"python": platform.python_version()}
     for name in ("irisstack", *LIBRARIES):
@@ -81,7 +81,7 @@
     return [histogram.get_value_at_percentile(percent) / 1000.0 for percent in PERCENTILES]
 
 
-def audited(
+def audit_run(
     world: World,
     entries: records.Ledger,
     *,
@@ -93,8 +93,8 @@
     events: int = 0,
 ) -> tuple[Run, scoring.RunScore, dict[str, list[rules.Breach]]]:
     """A ledger's figures and what broke which rule."""
-    figures: Figures = figures_of(world)
-    found = rules.index(entries)
+    figures: AuditParameters = audit_parameters(world)
+    found = rules.build_index(entries)
     breaches = rules.check(found, figures)
     got = scoring.score(found, figures)
     run = Run(
@@ -114,12 +114,12 @@
         got.attempts,
         got.waste,
         {name: len(broken) for name, broken in breaches.items()},
-        rules.effects_twice(found, figures),
+        rules.count_duplicate_effects(found, figures),
         len(found.overloads),
         {name: percentiles(delays) for name, delays in got.delays.items()},
         cpu_s,
         events,
-        versions(),
+        installed_versions(),
     )
     return run, got, breaches
 
--- a/irisstack/lab/scale/node_experiments.py
+++ b/irisstack/lab/scale/node_experiments.py
@@ -42,7 +42,7 @@
 
 def node_file(lines: int, *, gossip_peer: str | None = None) -> NodeFile:
     """The file of a node that holds a list of so many lines."""
-    played = world.build(scenario.read(scenario.find("short-day")))
+    played = world.build_world(scenario.read(scenario.scenario_path("short-day")))
     settings = settings_object(played, 0)
     settings["balancers"] = targets.NODES
     settings["invariants"] = {k: v for k, v in settings["invariants"].items() if v is not None}
--- a/irisstack/lab/scenario.py
+++ b/irisstack/lab/scenario.py
@@ -274,9 +274,9 @@
 """Where a trouble's strength is not told."""
 SHARES = {"fails_fast", "resets", "answers_lost", "answers_spoilt", "limit_lowered", "class_fails", "hot"}
 """Troubles whose strength is a part of something."""
-OF_NODES = {"killed", "stopped", "stalled"}
-OF_LIST = {"list_stale", "list_down"}
-OUTAGES = {"shut", "silent", "connect_refused", "host_gone", "fails_fast"}
+NODE_TROUBLES = {"killed", "stopped", "stalled"}
+LIST_TROUBLES = {"list_stale", "list_down"}
+OUTAGE_TROUBLES = {"shut", "silent", "connect_refused", "host_gone", "fails_fast"}
 """Troubles after which a destination is cold."""
 
 
@@ -336,7 +336,7 @@
                 wrong.append(f"{where}: share and destinations exclude each other")
             if any(number > total for number in trouble.destinations):
                 wrong.append(f"{where}.destinations: there are {total}")
-            if trouble.destinations and trouble.kind in OF_NODES | OF_LIST:
+            if trouble.destinations and trouble.kind in NODE_TROUBLES | LIST_TROUBLES:
                 wrong.append(f"{where}.destinations: {trouble.kind} strikes no destination")
             strength = trouble.strength[1] if isinstance(trouble.strength, list) else trouble.strength
             if strength is not None and trouble.kind in SHARES and strength > 1.0:
@@ -355,7 +355,7 @@
     return document.read(path, Scenario)
 
 
-def changed(scenario: Scenario, changes: dict[str, object], path: Path) -> Scenario:
+def with_changes(scenario: Scenario, changes: dict[str, object], path: Path) -> Scenario:
     """The scenario with some keys set anew (`traffic.rate`, `kinds.0.count`); raises `DocumentError`."""
     raw = scenario.model_dump()
     problems = []
@@ -376,11 +376,11 @@
     return document.check(path, raw, Scenario)
 
 
-SHIPPED = Path(__file__).parent / "scenarios"
+SCENARIO_DIRECTORY = Path(__file__).parent / "scenarios"
 """The scenarios that come with the program."""
 
 
-def find(name: str) -> Path:
+def scenario_path(name: str) -> Path:
     """A scenario file by its path, or a shipped one by its name."""
-    shipped = SHIPPED / f"{name}.toml"
+    shipped = SCENARIO_DIRECTORY / f"{name}.toml"
     return shipped if "/" not in name and not Path(name).exists() and shipped.exists() else Path(name)
--- a/irisstack/lab/sockets/clients.py
+++ b/irisstack/lab/sockets/clients.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from irisstack.lab import ledger as records
-from irisstack.lab.clients import LEAST_TIME, Behaviour
+from irisstack.lab.clients import MIN_TIME_LEFT, ClientBehaviour
 from irisstack.lab.node_settings import TENANT
 from irisstack.lab.sockets import http
 from irisstack.lab.sockets.run_context import RunContext, Submission
@@ -30,7 +30,7 @@
         self._context = context
         self._addresses = addresses
         self._up = up
-        self._behaviour = Behaviour(context.world.scenario.clients, context.world.streams)
+        self._behaviour = ClientBehaviour(context.world.scenario.clients, context.world.streams)
         self._idle: list[deque[socket.socket]] = [deque() for _ in addresses]
         self.waiting = len(context.world.messages)
         """Messages still to be handed in, or once more."""
@@ -41,15 +41,15 @@
     def run(self) -> None:
         """Hand in every message at its time."""
         for message in self._context.world.messages:
-            pause = message.at - self._context.now()
+            pause = message.submit_at - self._context.now()
             if pause > 0.0:
                 gevent.sleep(pause)
-            self.lateness.append(max(0.0, self._context.now() - message.at))
+            self.lateness.append(max(0.0, self._context.now() - message.submit_at))
             gevent.spawn(self._submit, self._context.now(), message, 1, "")
 
     def _submit(self, now: float, message: Message, tries: int, mark: str) -> None:
         kind = self._context.world.scenario.classes[message.message_class]
-        due = message.at + kind.deadline_s
+        due = message.submit_at + kind.deadline_s
         up = self._up()
         if not up:
             self._elsewhere(now, message, tries, due)
@@ -75,7 +75,7 @@
         if mark:
             headers["X-Retried"] = mark
         data = http.request("POST", f"/{kind.name}", "backend.local", headers, BODY)
-        if self._behaviour.leaves():
+        if self._behaviour.disconnects_early():
             self._leave(node, data, submission)
             return
         reply = self._ask(node, data)
@@ -151,8 +151,8 @@
                     self._elsewhere(now, submission.message, submission.tries, submission.due)
 
     def _elsewhere(self, now: float, message: Message, tries: int, due: float) -> None:
-        wait = self._behaviour.tries_elsewhere()
-        if now + wait + LEAST_TIME < due:
+        wait = self._behaviour.failover_delay()
+        if now + wait + MIN_TIME_LEFT < due:
             self._context.after(wait, self._submit, message, tries, "again")
             return
         self.waiting -= 1
@@ -162,7 +162,7 @@
             )
 
     def _refused(self, now: float, submission: Submission, advice: float) -> None:
-        pause = self._behaviour.comes_again(submission.tries, advice, submission.due - now)
+        pause = self._behaviour.retry_delay(submission.tries, advice, submission.due - now)
         if pause is not None:
             self.waiting += 1
             self._context.after(pause, self._submit, submission.message, submission.tries + 1, "1")
--- a/irisstack/lab/sockets/fault_injection.py
+++ b/irisstack/lab/sockets/fault_injection.py
@@ -5,7 +5,7 @@
 from irisstack.lab import ledger as records
 from irisstack.lab import troubles
 from irisstack.lab.sampling import sample
-from irisstack.lab.scenario import OF_LIST, OF_NODES
+from irisstack.lab.scenario import LIST_TROUBLES, NODE_TROUBLES
 from irisstack.lab.sockets.partners import Partners
 from irisstack.lab.sockets.run_context import RunContext
 from irisstack.lab.world import Incident
@@ -30,33 +30,34 @@
     def schedule(self) -> None:
         """Schedule every incident that concerns a partner of this process."""
         for incident in self._context.world.incidents:
-            if incident.trouble.kind in OF_NODES | OF_LIST | {"hot"}:
+            if incident.trouble.kind in NODE_TROUBLES | LIST_TROUBLES | {"hot"}:
                 continue
             if incident.trouble.kind == "replaced":
-                stream = self._context.world.streams.stream("replaced", incident.begins)
+                stream = self._context.world.streams.stream("replaced", incident.starts_at)
                 times = {
-                    number: sample([incident.begins, incident.ends], stream) for number in incident.endpoints
+                    number: sample([incident.starts_at, incident.ends_at], stream)
+                    for number in incident.endpoints
                 }
                 for number, time in times.items():
                     if number in self._partners.servers:
                         self._context.at(time, self._replace, number)
                 continue
-            self._context.at(incident.begins, self._begin, incident)
-            self._context.at(incident.ends, self._end, incident)
+            self._context.at(incident.starts_at, self._begin, incident)
+            self._context.at(incident.ends_at, self._end, incident)
 
     def _begin(self, now: float, incident: Incident) -> None:
         names = [kind.name for kind in self._context.world.scenario.classes]
         name = incident.trouble.message_class
         for number in incident.endpoints:
             if (server := self._partners.servers.get(number)) is not None:
-                troubles.begin(incident, server.endpoint, names.index(name) if name else None)
+                troubles.apply_to_endpoint(incident, server.endpoint, names.index(name) if name else None)
                 server.update_listener(now)
         self._apply_to_destinations(now, incident, begins=True)
 
     def _end(self, now: float, incident: Incident) -> None:
         for number in incident.endpoints:
             if (server := self._partners.servers.get(number)) is not None:
-                troubles.end(incident, server.endpoint)
+                troubles.clear_from_endpoint(incident, server.endpoint)
                 server.update_listener(now)
         self._apply_to_destinations(now, incident, begins=False)
 
@@ -66,9 +67,9 @@
             if destination is None:
                 continue
             if begins:
-                troubles.begin_for(incident, destination)
+                troubles.apply_to_destination(incident, destination)
             else:
-                troubles.end_for(incident, destination, now)
+                troubles.clear_from_destination(incident, destination, now)
             if troubles.is_outage(incident):
                 self._count_outage(now, number, 1 if begins else -1)
 
@@ -82,7 +83,7 @@
         self._count_outage(now, number, 1)
         self._update_listeners(now, number)
         self._context.at(
-            self._partners.destinations[number].fallen_until + RECHECK_DELAY, self._end_overload, number
+            self._partners.destinations[number].down_until + RECHECK_DELAY, self._end_overload, number
         )
 
     def _end_overload(self, now: float, number: int) -> None:
@@ -96,15 +97,17 @@
     def _replace(self, now: float, number: int) -> None:
         world, old = self._context.world, self._partners.servers[number]
         destination = old.endpoint.destination
-        new = self._partners.open(destination.add(world.new_endpoint(old.endpoint.spec), world.streams))
+        new = self._partners.open(
+            destination.add_endpoint(world.replace_endpoint(old.endpoint.spec), world.streams)
+        )
         place = destination.spec.number
         self._on_list_change(new.endpoint.spec.number, place, "SERVING", new.address)
         self._on_list_change(number, place, "DRAINING", old.address)
-        self._context.after(troubles.DRAIN_FOR, self._remove, number)
+        self._context.after(troubles.DRAIN_PERIOD, self._remove, number)
 
     def _remove(self, now: float, number: int) -> None:
         server = self._partners.servers[number]
-        server.endpoint.lose_all(now)
+        server.endpoint.drop_all_calls(now)
         server.endpoint.conditions.refuses_connections = True
         server.stop()
         self._on_list_change(number, server.endpoint.destination.spec.number, "DELETED", server.address)
--- a/irisstack/lab/sockets/partner_backends.py
+++ b/irisstack/lab/sockets/partner_backends.py
@@ -63,10 +63,10 @@
         self._workers: list[_WorkerProcess] = []
         shares: list[list[int]] = [[] for _ in range(processes)]
         loads = [0.0] * processes
-        for spec in sorted(context.world.destinations.values(), key=lambda spec: -spec.traffic):
+        for spec in sorted(context.world.destinations.values(), key=lambda spec: -spec.message_rate):
             least = loads.index(min(loads))
             shares[least].append(spec.number)
-            loads[least] += spec.traffic
+            loads[least] += spec.message_rate
         for number, share in enumerate(share for share in shares if share):
             self._workers.append(_WorkerProcess(self, number, folder / f"partners-{number}.jsonl.gz"))
             self._workers[-1].send(
--- a/irisstack/lab/sockets/partner_process.py
+++ b/irisstack/lab/sockets/partner_process.py
@@ -13,12 +13,12 @@
 from gevent.fileobject import FileObject
 
 from irisstack.lab import ledger as records
-from irisstack.lab.lateness import Lateness
+from irisstack.lab.lateness import LatenessMonitor
 from irisstack.lab.scenario import Scenario
 from irisstack.lab.sockets.fault_injection import FaultInjector
 from irisstack.lab.sockets.partners import Partners
 from irisstack.lab.sockets.run_context import RunContext, Submission, parse_request_id
-from irisstack.lab.world import build
+from irisstack.lab.world import build_world
 
 REPORT_INTERVAL = 0.05
 """Seconds between two reports on what was called and delivered."""
@@ -37,7 +37,7 @@
                 message = self.world.messages[chain - 1]
                 kind = self.world.scenario.classes[message.message_class]
                 found = self.submissions[id_] = Submission(
-                    number, message, node, message.at + kind.deadline_s, 1
+                    number, message, node, message.submit_at + kind.deadline_s, 1
                 )
         return found
 
@@ -46,8 +46,8 @@
     """Serve until asked to stop or until the parent process has ended; returns the exit code."""
     lines = FileObject(sys.stdin.fileno(), "rb", closefd=False)
     job = json.loads(lines.readline())
-    world = build(Scenario.model_validate(job["scenario"]), job["seed"])
-    world.next_endpoint += job["process"] * NUMBER_RANGE
+    world = build_world(Scenario.model_validate(job["scenario"]), job["seed"])
+    world.next_endpoint_number += job["process"] * NUMBER_RANGE
     context = RemoteRunContext(world)
     partners = Partners(context, job["destinations"])
 
@@ -66,16 +66,16 @@
         return 1
     context.started_at = start["began"]
     injector.schedule()
-    lateness = Lateness()
+    lateness = LatenessMonitor()
     helpers: list[gevent.Greenlet[..., None]] = [
-        gevent.spawn(lateness.watch),
+        gevent.spawn(lateness.run),
         gevent.spawn(_report_progress, context, send),
     ]
     lines.readline()  # "stop", or the end of the parent process
     gevent.killall(helpers)
     partners.stop()
     records.write(Path(job["ledger"]), context.ledger)
-    send(done=[lateness.at(0.99), lateness.most], faults=context.invalid_reasons)
+    send(done=[lateness.quantile(0.99), lateness.maximum], faults=context.invalid_reasons)
     return 0
 
 
--- a/irisstack/lab/sockets/partners.py
+++ b/irisstack/lab/sockets/partners.py
@@ -127,21 +127,21 @@
 
     def update_listener(self, now: float) -> None:
         """Listen or refuse, as the endpoint's conditions and its bound on connections say."""
-        if self.endpoint.accepts(now):
+        if self.endpoint.accepts_connections(now):
             self.listen()
         else:
             self.refuse()
 
     def _accept(self, sock: socket.socket, _: object) -> None:
         now = self._context.now()
-        if not self.endpoint.accepts(now):  # it came as the table filled
+        if not self.endpoint.accepts_connections(now):  # it came as the table filled
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             sock.close()
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(self, sock)
         self._connections.add(connection)
-        self.endpoint.connections += 1
+        self.endpoint.connection_count += 1
         self.update_listener(now)
         connection.idle_since = now
         connection.serve()
@@ -168,24 +168,24 @@
                     self.endpoint.destination.spec.number,
                 )
             )
-        if connection.calls > 1 and self.endpoint.dropped(idle):
-            self._partners.cut(now, self.endpoint, call)
+        if connection.calls > 1 and self.endpoint.drops_idle_connection(idle):
+            self._partners.drop_connection(now, self.endpoint, call)
             return
         self._context.after(self._one_way, self._reach, call)
 
     def _reach(self, now: float, call: SocketCall) -> None:
-        if not call.left:
-            self.endpoint.arrive(now, call)
+        if not call.abandoned:
+            self.endpoint.receive(now, call)
 
     def left(self, connection: Connection) -> None:
         """A connection has ended; a call on it has no answer any more."""
         self._connections.discard(connection)
-        self.endpoint.connections -= 1
+        self.endpoint.connection_count -= 1
         if not self._stopped:
             self.update_listener(self._context.now())
         call = connection.call
-        if call is not None and not call.left:
-            self.endpoint.gone(call)
+        if call is not None and not call.abandoned:
+            self.endpoint.abandon(call)
             self._partners.tell(call, self._context.now(), "timeout")
 
     def write(self, now: float, call: SocketCall, answer: Answer) -> None:
@@ -205,7 +205,7 @@
         if connection is not None and connection.broken and connection.calls == calls:
             self._partners.tell(call, written, "crossed", over=answer.status == "ok")
         else:
-            self._partners.tell(call, written, VERDICTS[answer.status], answer.wait)
+            self._partners.tell(call, written, VERDICTS[answer.status], answer.retry_after)
 
     def spoil(self, now: float, call: SocketCall) -> None:
         """Write what is no answer."""
@@ -236,8 +236,8 @@
         return http.reply(200, headers, lines.encode())
     if answer.status == "error":
         return http.reply(500, headers)
-    if answer.wait:
-        return http.reply(429, {**headers, "Retry-After": f"{answer.wait:.3f}"})
+    if answer.retry_after:
+        return http.reply(429, {**headers, "Retry-After": f"{answer.retry_after:.3f}"})
     return http.reply(503, headers)
 
 
@@ -247,7 +247,7 @@
     def __init__(self, context: RunContext, only: Sequence[int] | None = None) -> None:
         self.context = context
         world = context.world
-        self._one_way = world.one_way()
+        self._one_way = world.one_way_delays()
         self.destinations = {
             n: Destination(spec, world, self)
             for n, spec in world.destinations.items()
@@ -315,27 +315,27 @@
 
     # ---- what the models want done ----
 
-    def after(self, delay: float, act: Callable[..., None], *arguments: object) -> None:
+    def call_later(self, delay: float, act: Callable[..., None], *arguments: object) -> None:
         self.context.after(delay, act, *arguments)
 
-    def answer(self, now: float, endpoint: Endpoint, call: PartnerCall, answer: Answer) -> None:
+    def send_answer(self, now: float, endpoint: Endpoint, call: PartnerCall, answer: Answer) -> None:
         server = self.servers[endpoint.spec.number]
         self.context.after(self._one_way[endpoint.destination.spec.number], server.write, call, answer)
 
-    def spoil(self, now: float, endpoint: Endpoint, call: PartnerCall) -> None:
+    def send_malformed_answer(self, now: float, endpoint: Endpoint, call: PartnerCall) -> None:
         server = self.servers[endpoint.spec.number]
         self.context.after(self._one_way[endpoint.destination.spec.number], server.spoil, call)
 
-    def cut(self, now: float, endpoint: Endpoint, call: PartnerCall) -> None:
+    def drop_connection(self, now: float, endpoint: Endpoint, call: PartnerCall) -> None:
         server = self.servers[endpoint.spec.number]
         self.context.after(self._one_way[endpoint.destination.spec.number], server.cut, call)
 
-    def ran(self, now: float, endpoint: Endpoint, item: Item, effect: bool) -> None:
+    def message_executed(self, now: float, endpoint: Endpoint, item: Item, effect: bool) -> None:
         self.context.ledger.append(
             records.Executed(now, item.message, item.chain, endpoint.spec.number, effect)
         )
 
-    def fell(self, now: float, destination: int) -> None:
+    def destination_overloaded(self, now: float, destination: int) -> None:
         self.context.ledger.append(records.Overloaded(now, destination))
         self.on_overload(now, destination)
 
--- a/irisstack/lab/sockets/platform.py
+++ b/irisstack/lab/sockets/platform.py
@@ -75,7 +75,7 @@
             "flavor": destination.kind.name,
             "cell": destination.number,
             "phase": phase,
-            "size": destination.limit or destination.capacity,
+            "size": destination.rate_limit or destination.capacity,
             "up_since_ms": 0,
         }
 
@@ -178,7 +178,7 @@
         """What is written to a node binds it from now on."""
         now = self._context.now()
         # Counts all endpoints, so that it is looked up once for a whole list.
-        first_new = self._context.world.first_new_endpoint
+        first_new = self._context.world.first_replacement_number
         for member in members:
             state = STATES[member["phase"]]
             if state != "ready" or int(member["id"][2:]) >= first_new:
--- a/irisstack/lab/sockets/play.py
+++ b/irisstack/lab/sockets/play.py
@@ -11,7 +11,7 @@
 import gevent
 
 from irisstack.lab import ledger as records
-from irisstack.lab.lateness import Lateness
+from irisstack.lab.lateness import LatenessMonitor
 from irisstack.lab.sockets.clients import Clients
 from irisstack.lab.sockets.nodes import KILL_AFTER, NodeProcess
 from irisstack.lab.sockets.partner_backends import InProcessBackend, MultiProcessBackend, PartnerBackend
@@ -106,7 +106,7 @@
             [node.address for node in self._nodes],
             lambda: [node.number for node in self._nodes if node.up],
         )
-        self._lateness = Lateness()
+        self._lateness = LatenessMonitor()
         self._interrupted = False
 
     def play(self) -> Played:
@@ -128,7 +128,7 @@
             for incident in self._world.incidents:
                 self._plan(incident)
             self._backend.start_schedule(self._platform.change)
-            helpers = [gevent.spawn(self._lateness.watch), gevent.spawn(self._clients.run)]
+            helpers = [gevent.spawn(self._lateness.run), gevent.spawn(self._clients.run)]
             self._wait()
             partial = self._interrupted
         finally:
@@ -139,8 +139,11 @@
                 one.join()
             workers_late, workers_most = self._backend.stop()
             self._platform.stop()
-        self._lateness.seen.extend(self._clients.lateness)
-        late, most = max(self._lateness.at(0.99), workers_late), max(self._lateness.most, workers_most)
+        self._lateness.samples.extend(self._clients.lateness)
+        late, most = (
+            max(self._lateness.quantile(0.99), workers_late),
+            max(self._lateness.maximum, workers_most),
+        )
         reasons = list(self._context.invalid_reasons)
         if late > LATE or most > VERY_LATE:
             reasons.append(
@@ -156,14 +159,14 @@
 
     def _wait(self) -> None:
         world = self._world
-        last = world.length + max(kind.deadline_s for kind in world.scenario.classes) + AFTER_END
+        last = world.duration + max(kind.deadline_s for kind in world.scenario.classes) + AFTER_END
         while self._context.now() < last:
             now = self._context.now()
             if self._progress is not None:
-                self._progress(min(1.0, now / world.length))
+                self._progress(min(1.0, now / world.duration))
             if self._interrupted:
                 return
-            if now > world.length and not self._clients.waiting and not self._context.owed:
+            if now > world.duration and not self._clients.waiting and not self._context.owed:
                 return
             gevent.sleep(0.1)
 
@@ -177,14 +180,14 @@
         context = self._context
         match incident.trouble.kind:
             case "list_down":
-                context.at(incident.begins, self._platform.go_down)
-                context.at(incident.ends, self._platform.come_back)
+                context.at(incident.starts_at, self._platform.go_down)
+                context.at(incident.ends_at, self._platform.come_back)
             case "list_stale":
-                context.at(incident.begins, self._make_stale, incident.strength)
-                context.at(incident.ends, self._make_stale, 0.0)
+                context.at(incident.starts_at, self._make_stale, incident.strength)
+                context.at(incident.ends_at, self._make_stale, 0.0)
             case "killed" | "stopped" | "stalled":
                 for number in incident.nodes:
-                    context.at(incident.begins, self._strike, incident, number)
+                    context.at(incident.starts_at, self._strike, incident, number)
 
     def _make_stale(self, now: float, later: float) -> None:
         self._platform.later = later
@@ -193,10 +196,10 @@
         node, trouble = self._nodes[number], incident.trouble
         if not node.up:
             return
-        down = incident.ends - now
+        down = incident.ends_at - now
         match trouble.kind:
             case "stalled":
-                node.stall(now, incident.ends)
+                node.stall(now, incident.ends_at)
             case "killed":
                 self._kill(now, node, down, trouble.disk_lost)
             case _:
--- a/irisstack/lab/troubles.py
+++ b/irisstack/lab/troubles.py
@@ -1,10 +1,10 @@
 """What each trouble does to a partner's endpoints, and when a destination comes back cold."""
 
 from irisstack.lab.partner import Conditions, Destination, Endpoint
-from irisstack.lab.scenario import OUTAGES
+from irisstack.lab.scenario import OUTAGE_TROUBLES
 from irisstack.lab.world import Incident
 
-DRAIN_FOR = 6.0
+DRAIN_PERIOD = 6.0
 """Seconds that a draining endpoint still takes calls before it is gone."""
 MOST_FAIL = 0.5
 """From this part of its calls failing on, a destination counts as down."""
@@ -14,43 +14,46 @@
     """Whether the destinations that it strikes are down while it lasts, and cold when it ends."""
     kind = incident.trouble.kind
     whole = incident.trouble.endpoints is None
-    return whole and kind in OUTAGES and (kind != "fails_fast" or incident.strength >= MOST_FAIL)
+    return whole and kind in OUTAGE_TROUBLES and (kind != "fails_fast" or incident.strength >= MOST_FAIL)
 
 
-def begin(incident: Incident, endpoint: Endpoint, class_index: int | None) -> None:
+def apply_to_endpoint(incident: Incident, endpoint: Endpoint, class_index: int | None) -> None:
     """Set what is wrong with an endpoint."""
     conditions, trouble, strength = endpoint.conditions, incident.trouble, incident.strength
-    conditions.runs = trouble.runs
+    conditions.execution_probability = trouble.runs
     match trouble.kind:
         case "silent":
             conditions.silent = True
         case "shut":
-            conditions.shut_until, conditions.shut_tells = incident.ends, trouble.tells_wait
+            conditions.refuses_until, conditions.retry_after_probability = (
+                incident.ends_at,
+                trouble.tells_wait,
+            )
         case "connect_refused":
             conditions.refuses_connections = True
         case "host_gone":
-            conditions.host_gone = True
+            conditions.host_unreachable = True
         case "fails_fast":
-            conditions.fails = strength
+            conditions.error_probability = strength
         case "slow":
-            conditions.slower = strength
+            conditions.slowdown = strength
         case "pauses":
-            conditions.pause_every, conditions.pause_for = trouble.period_s, strength
-            conditions.pauses_from = incident.begins
+            conditions.pause_period, conditions.pause_duration = trouble.period_s, strength
+            conditions.pauses_start = incident.starts_at
         case "resets":
-            conditions.resets = strength
+            conditions.reset_probability = strength
         case "answers_lost":
-            conditions.loses_answers = strength
+            conditions.answer_loss_probability = strength
         case "answers_spoilt":
-            conditions.spoils_answers = strength
+            conditions.malformed_answer_probability = strength
         case "idle_dropped":
-            conditions.idle_drop = strength
+            conditions.idle_timeout = strength
         case "class_fails":
             assert class_index is not None, "the scenario's check asks for one"
-            conditions.failing_classes = {class_index: strength}
+            conditions.class_error_probability = {class_index: strength}
 
 
-def end(incident: Incident, endpoint: Endpoint) -> None:
+def clear_from_endpoint(incident: Incident, endpoint: Endpoint) -> None:
     """Clear what this trouble set. Where two of a kind overlap, the end of one is the end of both."""
     conditions, fresh = endpoint.conditions, Conditions()
     for name in FIELDS.get(incident.trouble.kind, ()):
@@ -59,30 +62,30 @@
 
 FIELDS = {
     "silent": ("silent",),
-    "shut": ("shut_until", "shut_tells"),
+    "shut": ("refuses_until", "retry_after_probability"),
     "connect_refused": ("refuses_connections",),
-    "host_gone": ("host_gone",),
-    "fails_fast": ("fails",),
-    "slow": ("slower",),
-    "pauses": ("pause_every", "pause_for"),
-    "resets": ("resets",),
-    "answers_lost": ("loses_answers",),
-    "answers_spoilt": ("spoils_answers",),
-    "idle_dropped": ("idle_drop",),
-    "class_fails": ("failing_classes",),
+    "host_gone": ("host_unreachable",),
+    "fails_fast": ("error_probability",),
+    "slow": ("slowdown",),
+    "pauses": ("pause_period", "pause_duration"),
+    "resets": ("reset_probability",),
+    "answers_lost": ("answer_loss_probability",),
+    "answers_spoilt": ("malformed_answer_probability",),
+    "idle_dropped": ("idle_timeout",),
+    "class_fails": ("class_error_probability",),
 }
 """The conditions that each trouble sets."""
 
 
-def begin_for(incident: Incident, destination: Destination) -> None:
+def apply_to_destination(incident: Incident, destination: Destination) -> None:
     """Set what is wrong with a destination as a whole."""
     if incident.trouble.kind == "limit_lowered" and destination.limiter is not None:
         destination.limiter.factor = incident.strength
 
 
-def end_for(incident: Incident, destination: Destination, now: float) -> None:
+def clear_from_destination(incident: Incident, destination: Destination, now: float) -> None:
     """Clear it; a destination that was down is cold from now on."""
     if incident.trouble.kind == "limit_lowered" and destination.limiter is not None:
         destination.limiter.factor = 1.0
     if is_outage(incident):
-        destination.strength.came_back(now)
+        destination.warmup.begin(now)
--- a/irisstack/lab/virtual/listing.py
+++ b/irisstack/lab/virtual/listing.py
@@ -47,7 +47,7 @@
             destination.kind_index,
             destination.number,
             0,
-            destination.limit or destination.capacity,
+            destination.rate_limit or destination.capacity,
             None,
         )
 
--- a/irisstack/lab/virtual/node.py
+++ b/irisstack/lab/virtual/node.py
@@ -355,7 +355,7 @@
                 self._leave(now, call)
                 return
             self._outside.close_idle(endpoint, 1)
-        call.fresh = True
+        call.new_connection = True
         self._outside.connect(now, call)
 
     def connected(self, now: float, call: OutCall) -> None:
@@ -400,9 +400,9 @@
             return
         self._idle.setdefault(call.endpoint, []).append(now)
         outcome = OUTCOMES[answer.status]
-        if answer.wait:
+        if answer.retry_after:
             key = self._waits_for(call)
-            self._held[key] = max(self._held.get(key, 0.0), now + answer.wait)
+            self._held[key] = max(self._held.get(key, 0.0), now + answer.retry_after)
         self._finish(now, call, outcome, answer, keep=True)
 
     def broken(self, now: float, call: OutCall) -> None:
@@ -457,7 +457,7 @@
     def _outcome(
         self, now: float, call: OutCall, owed: Owed, attempt: int, outcome: api.Outcome, answer: Answer | None
     ) -> None:
-        wait = answer.wait if answer is not None else 0.0
+        wait = answer.retry_after if answer is not None else 0.0
         if call.left_at is not None:
             self._ledger.append(
                 records.Answered(now, self.number, owed.id, call.endpoint, VERDICTS[outcome], wait)
--- a/irisstack/lab/world.py
+++ b/irisstack/lab/world.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from irisstack.lab.sampling import RandomStreams, sample
-from irisstack.lab.scenario import DEFAULT_STRENGTH, OF_LIST, OF_NODES, Kind, Scenario, Trouble
+from irisstack.lab.scenario import DEFAULT_STRENGTH, LIST_TROUBLES, NODE_TROUBLES, Kind, Scenario, Trouble
 
 LONGEST_WORK = 10.0
 """Work is drawn up to so many times its mean: one message must not outlast the day by itself."""
@@ -23,9 +23,9 @@
 
     number: int
     destination: int
-    at_once: int
-    queue: int
-    connections: int  # 0: no bound
+    concurrency: int
+    queue_limit: int
+    max_connections: int  # 0: no bound
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,10 +35,10 @@
     number: int
     kind_index: int
     kind: Kind
-    traffic: float  # messages a second, mean
-    pace: float
+    message_rate: float  # messages a second, mean
+    duration_factor: float
     capacity: float  # calls a second, of all its endpoints
-    limit: float  # calls a second; 0 for none
+    rate_limit: float  # calls a second; 0 for none
     endpoints: tuple[EndpointSpec, ...]
 
 
@@ -47,9 +47,9 @@
     """One delivery node."""
 
     number: int
-    part: float  # of the traffic
-    slots: int
-    room: int
+    traffic_share: float  # of the traffic
+    max_calls: int
+    max_pending: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
     """What a client wants delivered; `number` stays over all its handings in (the ledger's chain)."""
 
     number: int
-    at: float
+    submit_at: float
     message_class: int
     destination: int
     sender: int
@@ -70,8 +70,8 @@
     """A trouble with all its figures drawn."""
 
     trouble: Trouble
-    begins: float
-    ends: float
+    starts_at: float
+    ends_at: float
     destinations: tuple[int, ...] = ()
     endpoints: tuple[int, ...] = ()
     nodes: tuple[int, ...] = ()
@@ -88,32 +88,34 @@
     senders: tuple[SenderSpec, ...]
     messages: list[Message]
     incidents: tuple[Incident, ...]
-    next_endpoint: int = 0
+    next_endpoint_number: int = 0
     endpoints: dict[int, EndpointSpec] = field(default_factory=dict)
 
     @property
-    def first_new_endpoint(self) -> int:
+    def first_replacement_number(self) -> int:
         """From this number on an endpoint is one that came later."""
         return sum(len(spec.endpoints) for spec in self.destinations.values()) + 1
 
-    def one_way(self) -> dict[int, float]:
+    def one_way_delays(self) -> dict[int, float]:
         """Seconds from a node to each destination; the same at each call."""
         stream = self.streams.stream("network")
         return {number: sample(self.scenario.network.one_way_s, stream) for number in self.destinations}
 
     @property
-    def length(self) -> float:
+    def duration(self) -> float:
         return self.scenario.scenario.length_s
 
-    def new_endpoint(self, old: EndpointSpec) -> EndpointSpec:
+    def replace_endpoint(self, old: EndpointSpec) -> EndpointSpec:
         """The endpoint that replaces another, under a number of its own."""
-        new = EndpointSpec(self.next_endpoint, old.destination, old.at_once, old.queue, old.connections)
-        self.next_endpoint += 1
+        new = EndpointSpec(
+            self.next_endpoint_number, old.destination, old.concurrency, old.queue_limit, old.max_connections
+        )
+        self.next_endpoint_number += 1
         self.endpoints[new.number] = new
         return new
 
 
-def build(scenario: Scenario, seed: int | None = None) -> World:
+def build_world(scenario: Scenario, seed: int | None = None) -> World:
     """Draw a world; the scenario's own seed unless told."""
     streams = RandomStreams(scenario.scenario.seed if seed is None else seed)
     destinations = _destinations(scenario, streams)
@@ -130,11 +132,11 @@
         incidents,
     )
     world.endpoints = {e.number: e for d in destinations.values() for e in d.endpoints}
-    world.next_endpoint = len(world.endpoints) + 1
+    world.next_endpoint_number = len(world.endpoints) + 1
     return world
 
 
-def mean_work(scenario: Scenario) -> float:
+def mean_work_seconds(scenario: Scenario) -> float:
     """Seconds of work of a message, over all classes."""
     total = sum(kind.share for kind in scenario.classes)
     return sum(kind.share * kind.work_s for kind in scenario.classes) / total
@@ -148,7 +150,7 @@
 def _destinations(scenario: Scenario, streams: RandomStreams) -> dict[int, DestinationSpec]:
     found: dict[int, DestinationSpec] = {}
     all_traffic = sum(kind.traffic for kind in scenario.kinds)
-    work = mean_work(scenario)
+    work = mean_work_seconds(scenario)
     endpoint = 1
     for index, kind in enumerate(scenario.kinds):
         parts = _parts(kind.count, kind.skew) * kind.traffic / all_traffic * scenario.traffic.rate
@@ -185,7 +187,7 @@
     parts = _parts(told.count, told.skew)
     stream = streams.stream("senders")
     slots, room = sample(told.slots, stream), sample(told.room_s, stream)
-    busy = scenario.traffic.rate * (mean_work(scenario) + 2.0 * _middle(scenario.network.one_way_s))
+    busy = scenario.traffic.rate * (mean_work_seconds(scenario) + 2.0 * _middle(scenario.network.one_way_s))
     return tuple(
         SenderSpec(
             i,
@@ -213,9 +215,9 @@
     ends = begins + sample(trouble.for_s, stream)
     strength = trouble.strength if trouble.strength is not None else DEFAULT_STRENGTH.get(trouble.kind, 0.0)
     drawn = sample(strength, stream)
-    if trouble.kind in OF_LIST:
+    if trouble.kind in LIST_TROUBLES:
         return Incident(trouble, begins, ends, strength=drawn)
-    if trouble.kind in OF_NODES:
+    if trouble.kind in NODE_TROUBLES:
         nodes = _some(range(scenario.senders.count), trouble.share, stream)
         return Incident(trouble, begins, ends, nodes=nodes, strength=drawn)
     struck = tuple(trouble.destinations) or _some(
@@ -252,7 +254,7 @@
         streams.stream("arrivals"),
     )
     numbers = np.asarray(list(destinations))
-    flow = np.asarray([d.traffic for d in destinations.values()])
+    flow = np.asarray([d.message_rate for d in destinations.values()])
     where = streams.stream("arrivals", "where").choice(numbers, size=times.size, p=flow / flow.sum())
 
     clumps = streams.stream("clumps")
@@ -264,8 +266,8 @@
     for i, incident in enumerate(incidents):
         if incident.trouble.kind == "hot":
             stream = streams.stream("hot", i)
-            more = incident.begins + _poisson(
-                traffic.rate * incident.strength, 0.0, 1.0, incident.ends - incident.begins, stream
+            more = incident.starts_at + _poisson(
+                traffic.rate * incident.strength, 0.0, 1.0, incident.ends_at - incident.starts_at, stream
             )
             times = np.concatenate([times, more])
             where = np.concatenate([where, stream.choice(np.asarray(incident.destinations), size=more.size)])
@@ -276,7 +278,7 @@
     times, where = times[keep], where[keep]
     shares = np.asarray([kind.share for kind in scenario.classes])
     kinds = streams.stream("classes").choice(shares.size, size=times.size, p=shares / shares.sum())
-    parts = np.asarray([sender.part for sender in senders])
+    parts = np.asarray([sender.traffic_share for sender in senders])
     by = streams.stream("entry").choice(parts.size, size=times.size, p=parts / parts.sum())
     work = _work(scenario, kinds, streams)
     keys = streams.stream("order").random(times.size)
--- a/tests/cli/test_lab_commands.py
+++ b/tests/cli/test_lab_commands.py
@@ -7,13 +7,13 @@
 import pytest
 
 from irisstack.__main__ import main
-from tests.lab.support import SMALL, trouble
+from tests.lab.support import SMALL_SCENARIO, trouble_toml
 
 
 @pytest.fixture(autouse=True)
 def _in_a_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(tmp_path)
-    Path("small.toml").write_text(SMALL)
+    Path("small.toml").write_text(SMALL_SCENARIO)
 
 
 @pytest.mark.parametrize(
@@ -71,8 +71,8 @@
 
 def test_a_broken_rule_is_a_failure(capfd: pytest.CaptureFixture[str]) -> None:
     cold = "cold = { start = 0.1, warm_s = 8.0, tip_multiple = 1.2, tip_s = 0.5 }\nshared_calls = 3"
-    text = SMALL.replace("shared_calls = 3", cold).replace("rate = 20.0", "rate = 120.0")
-    Path("cold.toml").write_text(text + trouble("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0))
+    text = SMALL_SCENARIO.replace("shared_calls = 3", cold).replace("rate = 20.0", "rate = 120.0")
+    Path("cold.toml").write_text(text + trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0))
     assert main(["lab", "model", "cold.toml", "--policy", "backoff"]) == 1
     assert "rules broken: not pushed over" in capfd.readouterr().out
 
--- a/tests/lab/sockets/test_play.py
+++ b/tests/lab/sockets/test_play.py
@@ -16,24 +16,24 @@
 from gevent import socket
 
 from irisstack.lab import ledger as records
-from irisstack.lab.audit import figures, rules
+from irisstack.lab.audit import parameters, rules
 from irisstack.lab.partner import Destination
 from irisstack.lab.sockets import http, partners
 from irisstack.lab.sockets.platform import Platform
 from irisstack.lab.sockets.play import _first_ends, play
 from irisstack.lab.sockets.run_context import RunContext, RunError
-from tests.lab.support import SMALL, small_world, trouble
+from tests.lab.support import SMALL_SCENARIO, small_world, trouble_toml
 
 DAY = (
-    trouble("silent", at_s=1.5, for_s=2.0, destinations=[1])
-    + trouble("killed", at_s=3.0, for_s=0.5, share=0.5)
-    + trouble("replaced", at_s=4.0, for_s=1.0, destinations=[2], endpoints=1)
-    + trouble("shut", at_s=5.0, for_s=1.5, destinations=[3], tells_wait=1.0)
-    + trouble("resets", at_s=6.0, for_s=1.0, destinations=[1])
-    + trouble("connect_refused", at_s=6.5, for_s=1.0, destinations=[2])
-    + trouble("answers_spoilt", at_s=7.0, for_s=1.0, destinations=[3])
-    + trouble("list_down", at_s=3.5, for_s=0.4)
-    + trouble("stalled", at_s=8.0, for_s=0.3, share=0.5)
+    trouble_toml("silent", at_s=1.5, for_s=2.0, destinations=[1])
+    + trouble_toml("killed", at_s=3.0, for_s=0.5, share=0.5)
+    + trouble_toml("replaced", at_s=4.0, for_s=1.0, destinations=[2], endpoints=1)
+    + trouble_toml("shut", at_s=5.0, for_s=1.5, destinations=[3], tells_wait=1.0)
+    + trouble_toml("resets", at_s=6.0, for_s=1.0, destinations=[1])
+    + trouble_toml("connect_refused", at_s=6.5, for_s=1.0, destinations=[2])
+    + trouble_toml("answers_spoilt", at_s=7.0, for_s=1.0, destinations=[3])
+    + trouble_toml("list_down", at_s=3.5, for_s=0.4)
+    + trouble_toml("stalled", at_s=8.0, for_s=0.3, share=0.5)
 )
 
 
@@ -44,8 +44,8 @@
     )
     played = play(world, tmp_path / "nodes")
     assert not [fault for fault in played.not_a_result.split("; ") if fault and "ran late" not in fault]
-    found = rules.index(played.ledger)
-    checked = rules.check(found, figures.figures_of(world))
+    found = rules.build_index(played.ledger)
+    checked = rules.check(found, parameters.audit_parameters(world))
     assert {name: breaches for name, breaches in checked.items() if breaches} == {}
     assert len(found.by_chain) + len(found.never_submitted) == len(world.messages)
     delivered = {
@@ -66,11 +66,11 @@
     monkeypatch.setattr(Destination, "remembers", lambda self, now, item: False)
     world = small_world(
         tmp_path,
-        trouble("answers_lost", at_s=0.5, for_s=3.0, share=1.0, strength=1.0),
+        trouble_toml("answers_lost", at_s=0.5, for_s=3.0, share=1.0, strength=1.0),
         scenario__length_s=4.0,
     )
-    found = rules.index(play(world, tmp_path / "nodes", processes=0).ledger)
-    assert rules.effects_twice(found, figures.figures_of(world)) > 0
+    found = rules.build_index(play(world, tmp_path / "nodes", processes=0).ledger)
+    assert rules.count_duplicate_effects(found, parameters.audit_parameters(world)) > 0
 
 
 def test_a_call_to_the_wrong_place_makes_the_run_no_result(
@@ -96,7 +96,7 @@
 def started(folder: Path) -> tuple["subprocess.Popen[str]", list[int]]:
     """A run in a process of its own, once its two nodes serve."""
     path = folder / "small.toml"
-    path.write_text(SMALL)
+    path.write_text(SMALL_SCENARIO)
     command = [sys.executable, "-m", "irisstack", "lab", "run", str(path), "--out", str(folder / "out")]
     running = subprocess.Popen(command, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
     logs = folder / "out" / "small-sockets-1" / "nodes"
--- a/tests/lab/support.py
+++ b/tests/lab/support.py
@@ -6,7 +6,7 @@
 from irisstack.lab import scenario, world
 from irisstack.lab.scenario import Scenario
 
-SMALL = """
+SMALL_SCENARIO = """
 [scenario]
 name = "small"
 length_s = 12.0
@@ -54,19 +54,19 @@
 """
 
 
-def small(folder: Path, extra: str = "", **changes: Any) -> Scenario:
+def small_scenario(folder: Path, extra: str = "", **changes: Any) -> Scenario:
     """The small scenario with troubles appended, or keys changed (`traffic__rate=3.0`)."""
     path = folder / "small.toml"
-    path.write_text(SMALL + extra)
+    path.write_text(SMALL_SCENARIO + extra)
     named = {key.replace("__", "."): value for key, value in changes.items()}
-    return scenario.changed(scenario.read(path), named, path)
+    return scenario.with_changes(scenario.read(path), named, path)
 
 
 def small_world(folder: Path, extra: str = "", seed: int = 1, **changes: Any) -> world.World:
-    return world.build(small(folder, extra, **changes), seed)
+    return world.build_world(small_scenario(folder, extra, **changes), seed)
 
 
-def trouble(kind: str, **keys: object) -> str:
+def trouble_toml(kind: str, **keys: object) -> str:
     """A trouble in the scenario's form."""
     lines = [f"{key} = {value!r}".replace("'", '"').replace("True", "true") for key, value in keys.items()]
     return "\n".join(["[[troubles]]", f'kind = "{kind}"', *lines, ""])
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -9,17 +9,17 @@
 from irisstack import interface as api
 from irisstack.choice import Sender
 from irisstack.lab import ledger as records
-from irisstack.lab.audit import figures, rules, scoring
-from irisstack.lab.policy import Policy, Truth, module
+from irisstack.lab.audit import parameters, rules, scoring
+from irisstack.lab.policy import Oracle, Policy, decision_module
 from irisstack.lab.virtual.listing import address
 from irisstack.lab.virtual.play import play
-from tests.lab.support import small_world, trouble
+from tests.lab.support import small_world, trouble_toml
 
 
 class Wrong:
     """The decision module with its actions, or what it hears, spoilt in one way."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
         self.inner = Sender(settings, seed)
         self.settings = settings
 
@@ -112,22 +112,22 @@
         return event
 
 
-SILENT = trouble("silent", at_s=3.0, for_s=4.0, share=1.0)
-CRASHES = trouble("resets", at_s=2.0, for_s=8.0, share=1.0, strength=0.6)
-DRAINS = trouble("replaced", at_s=2.0, for_s=1.0, share=1.0, endpoints=1)
-SHUT = trouble("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=1.0)
-SHUT_UNTOLD = trouble("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0)
-SLOW = trouble("slow", at_s=2.0, for_s=8.0, share=1.0, strength=4.0)
+SILENT = trouble_toml("silent", at_s=3.0, for_s=4.0, share=1.0)
+CRASHES = trouble_toml("resets", at_s=2.0, for_s=8.0, share=1.0, strength=0.6)
+DRAINS = trouble_toml("replaced", at_s=2.0, for_s=1.0, share=1.0, endpoints=1)
+SHUT = trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=1.0)
+SHUT_UNTOLD = trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0)
+SLOW = trouble_toml("slow", at_s=2.0, for_s=8.0, share=1.0, strength=4.0)
 
 # What the node itself would withhold has to be unlearnt too, or a wrong module could not show.
 WITHHOLDS = {"drains": "_tell", "waits": "_waits_for"}
 
 
 def broken(
-    folder: Path, make: Callable[[api.Settings, int, Truth], Policy], extra: str, **changes: Any
+    folder: Path, make: Callable[[api.Settings, int, Oracle], Policy], extra: str, **changes: Any
 ) -> dict[str, int]:
     played = small_world(folder, extra, **changes)
-    found = rules.check(rules.index(play(played, make).ledger), figures.figures_of(played))
+    found = rules.check(rules.build_index(play(played, make).ledger), parameters.audit_parameters(played))
     return {name: len(breaches) for name, breaches in found.items() if breaches}
 
 
@@ -152,7 +152,7 @@
     tmp_path: Path, rule: str, wrong: type[Wrong], extra: str, changes: dict[str, Any]
 ) -> None:
     assert rule in broken(tmp_path, wrong, extra, **changes)
-    assert broken(tmp_path, module, extra, **changes) == {}
+    assert broken(tmp_path, decision_module, extra, **changes) == {}
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
 def test_a_wrong_node_that_withholds_nothing_is_caught(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rule: str, wrong: type[Wrong], extra: str
 ) -> None:
-    assert broken(tmp_path, module, extra) == {}
+    assert broken(tmp_path, decision_module, extra) == {}
     assert broken(tmp_path, wrong, extra) == {}  # the node's own guard holds
     from irisstack.lab.virtual import node
 
@@ -222,7 +222,9 @@
     ],
 )
 def test_planted_records(tmp_path: Path, rule: str, planted: list[records.Entry]) -> None:
-    found = rules.check(rules.index([HANDED, *planted]), figures.figures_of(small_world(tmp_path)))
+    found = rules.check(
+        rules.build_index([HANDED, *planted]), parameters.audit_parameters(small_world(tmp_path))
+    )
     assert {name for name, breaches in found.items() if breaches} == {rule}
 
 
@@ -248,7 +250,9 @@
     ],
 )
 def test_a_restart_excuses_what_it_must(tmp_path: Path, planted: list[records.Entry]) -> None:
-    found = rules.check(rules.index([HANDED, *planted]), figures.figures_of(small_world(tmp_path)))
+    found = rules.check(
+        rules.build_index([HANDED, *planted]), parameters.audit_parameters(small_world(tmp_path))
+    )
     assert not any(found.values())
 
 
@@ -260,7 +264,7 @@
     tmp_path: Path, message_class: int, verdict: records.Verdict, broken: set[str]
 ) -> None:
     found = rules.check(
-        rules.index(
+        rules.build_index(
             [
                 records.Submitted(0.0, 0, 1, 1, message_class, 1, 8.0),
                 records.Sent(1.0, 0, 1, 1, 1),
@@ -270,7 +274,7 @@
                 records.Answered(1.6, 0, 1, 1, "ok"),
             ]
         ),
-        figures.figures_of(small_world(tmp_path)),
+        parameters.audit_parameters(small_world(tmp_path)),
     )
     assert {name for name, breaches in found.items() if breaches} == broken
 
@@ -289,7 +293,7 @@
 def test_a_retry_belongs_to_its_first_try_and_an_unreached_node_counts(tmp_path: Path) -> None:
     again = records.Submitted(1.0, 0, 2, 1, 1, 1, 8.0)
     got = scoring.score(
-        rules.index(
+        rules.build_index(
             [
                 HANDED,
                 records.Ended(0.5, 0, 1, "refused"),
@@ -298,6 +302,6 @@
                 records.NeverSubmitted(8.0, 3, 1, 1, 8.0),
             ]
         ),
-        figures.figures_of(small_world(tmp_path)),
+        parameters.audit_parameters(small_world(tmp_path)),
     )
     assert (got.asked, got.ends, got.whole) == (2, {"delivered": 1, "none": 1}, 0.5)
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -9,7 +9,7 @@
 from irisstack.configuration.document import DocumentError
 from irisstack.lab import compare, experiment, results, sweep_page
 from irisstack.lab.results import Run
-from tests.lab.support import SMALL
+from tests.lab.support import SMALL_SCENARIO
 
 FILE = """
 [experiment]
@@ -27,9 +27,9 @@
 
 
 def planned(folder: Path, text: str = FILE) -> list[experiment.Job]:
-    (folder / "small.toml").write_text(SMALL)
+    (folder / "small.toml").write_text(SMALL_SCENARIO)
     (folder / "two.toml").write_text(text)
-    return experiment.jobs(experiment.read(folder / "two.toml"), folder / "two.toml")
+    return experiment.build_jobs(experiment.read(folder / "two.toml"), folder / "two.toml")
 
 
 def test_a_sweep_goes_on_after_a_kill_and_more_workers_change_nothing(tmp_path: Path) -> None:
@@ -42,7 +42,7 @@
     again = list(experiment.sweep(work, path, 1, lambda done, of: seen.append((done, of))))
     assert seen[0] == (2, 6)
     assert seen[-1] == (6, 6)
-    assert len(experiment.kept(path)) == 6
+    assert len(experiment.load_runs(path)) == 6
     for run in again:
         before = whole[run.seed * 10 + (run.variant == "busier")]
         assert (run.score, run.ends, run.attempts) == (before.score, before.ends, before.attempts)
@@ -58,7 +58,7 @@
 def test_a_spoilt_line_in_the_middle_is_told_and_not_passed_over(tmp_path: Path) -> None:
     (tmp_path / "runs.jsonl").write_bytes(b"{}\n{}\n")
     with pytest.raises(ValueError, match=r"runs\.jsonl:1"):
-        experiment.kept(tmp_path / "runs.jsonl")
+        experiment.load_runs(tmp_path / "runs.jsonl")
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
     a = [run_of(seed, 0.5 + seed / 100) for seed in range(len(steps))]
     b = [run_of(seed, 0.5 + seed / 100 + step, "b") for seed, step in enumerate(steps)]
     found = compare.differences(a, b[::-1], ("score",))[0]  # paired by seed, not by place
-    assert found.words("a", "b") == words
+    assert found.conclusion("a", "b") == words
     assert found.low <= found.difference + 1e-9
     assert found.difference <= found.high + 1e-9
 
@@ -130,7 +130,7 @@
         for name, waste in (("a", 0.2), ("b", 0.1))
     )
     b[0].waste += 0.01
-    assert compare.differences(a, b, ("waste",))[0].words("a", "b") == "b is better"
+    assert compare.differences(a, b, ("waste",))[0].conclusion("a", "b") == "b is better"
 
 
 def test_pages_need_nothing_from_elsewhere_and_count_broken_rules(tmp_path: Path) -> None:
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -6,7 +6,7 @@
 
 from irisstack.configuration.document import DocumentError
 from irisstack.lab import scenario, world
-from tests.lab.support import SMALL, small, small_world, trouble
+from tests.lab.support import SMALL_SCENARIO, small_scenario, small_world, trouble_toml
 
 
 @pytest.mark.parametrize(
@@ -18,21 +18,25 @@
         ("", ("window_s = 6.0", ""), "a keyed class needs window_s"),
         ("", ("deadline_s = 8.0", "deadline_s = 0.5"), "deadline_s (0.5) is below aim_s (1)"),
         ("", ("capacity = 2.0", "capacity = [3.0, 2.0]"), "the low end comes first"),
-        (trouble("silent", at_s=12.5), None, "begins at 12.5 s, after the end at 12 s"),
-        (trouble("class_fails", at_s=1.0, message_class="memo"), None, "nobody sends a class 'memo'"),
-        (trouble("slow", at_s=1.0, of_kind="bank"), None, "there is no kind 'bank'"),
-        (trouble("slow", at_s=1.0, destinations=[4]), None, "troubles[0].destinations: there are 3"),
-        (trouble("killed", at_s=1.0, destinations=[1]), None, "killed strikes no destination"),
-        (trouble("resets", at_s=1.0, strength=1.5), None, "for resets a part from 0 to 1 is due, not 1.5"),
-        (trouble("shut", at_s=1.0, strength=0.5), None, "shut has none"),
-        (trouble("explodes", at_s=1.0), None, "troubles[0].kind"),
+        (trouble_toml("silent", at_s=12.5), None, "begins at 12.5 s, after the end at 12 s"),
+        (trouble_toml("class_fails", at_s=1.0, message_class="memo"), None, "nobody sends a class 'memo'"),
+        (trouble_toml("slow", at_s=1.0, of_kind="bank"), None, "there is no kind 'bank'"),
+        (trouble_toml("slow", at_s=1.0, destinations=[4]), None, "troubles[0].destinations: there are 3"),
+        (trouble_toml("killed", at_s=1.0, destinations=[1]), None, "killed strikes no destination"),
+        (
+            trouble_toml("resets", at_s=1.0, strength=1.5),
+            None,
+            "for resets a part from 0 to 1 is due, not 1.5",
+        ),
+        (trouble_toml("shut", at_s=1.0, strength=0.5), None, "shut has none"),
+        (trouble_toml("explodes", at_s=1.0), None, "troubles[0].kind"),
     ],
 )
 def test_a_bad_scenario_is_refused(
     tmp_path: Path, extra: str, changed: tuple[str, str] | None, due: str
 ) -> None:
-    text = SMALL.replace(*changed, 1) if changed else SMALL
-    assert changed is None or text != SMALL
+    text = SMALL_SCENARIO.replace(*changed, 1) if changed else SMALL_SCENARIO
+    assert changed is None or text != SMALL_SCENARIO
     path = tmp_path / "bad.toml"
     path.write_text(text + extra)
     with pytest.raises(DocumentError) as caught:
@@ -42,11 +46,11 @@
 
 def test_a_key_that_is_not_there_cannot_be_changed(tmp_path: Path) -> None:
     with pytest.raises(DocumentError, match="no such key"):
-        small(tmp_path, "", senders__colour__shade=3)
+        small_scenario(tmp_path, "", senders__colour__shade=3)
 
 
 def test_all_shipped_scenarios_are_good_and_say_what_they_show() -> None:
-    paths = sorted(scenario.SHIPPED.glob("*.toml"))
+    paths = sorted(scenario.SCENARIO_DIRECTORY.glob("*.toml"))
     assert len(paths) >= 7
     for path in paths:
         read = scenario.read(path)
@@ -56,7 +60,7 @@
 
 def test_one_change_leaves_every_other_draw_as_it_was(tmp_path: Path) -> None:
     before = small_world(tmp_path)
-    silent = trouble("silent", at_s=[2.0, 4.0], for_s=2.0, share=0.5)
+    silent = trouble_toml("silent", at_s=[2.0, 4.0], for_s=2.0, share=0.5)
     after = small_world(tmp_path, silent, senders__slots=4.0)
     assert before.messages == after.messages
     assert before.destinations == after.destinations
@@ -65,6 +69,6 @@
 
 def test_drawn_capacity_is_what_work_and_servers_give(tmp_path: Path) -> None:
     for spec in small_world(tmp_path).destinations.values():
-        at_once = sum(endpoint.at_once for endpoint in spec.endpoints)
-        work = world.mean_work(small(tmp_path)) * spec.pace
+        at_once = sum(endpoint.concurrency for endpoint in spec.endpoints)
+        work = world.mean_work_seconds(small_scenario(tmp_path)) * spec.duration_factor
         assert at_once / work == pytest.approx(spec.capacity)
