--- a/irisstack/lab/limits.py
+++ b/irisstack/lab/limits.py
@@ -24,29 +24,31 @@
 class TokenBucketLimiter:
     """A plain rate: tokens that come back evenly, a second's worth at most."""
 
-    def __init__(self, rate: float, refused_use_it: bool) -> None:
+    def __init__(self, rate: float, count_rejected: bool) -> None:
         self.factor = 1.0
         self._rate = rate
-        self._refused_use_it = refused_use_it
-        self._tokens = self._most
-        self._at = 0.0
+        self._count_rejected = count_rejected
+        self._tokens = self._max_calls
+        self._updated_at = 0.0
 
     @property
-    def _most(self) -> float:
+    def _max_calls(self) -> float:
         return max(1.0, self._rate * self.factor)
 
     def _refill(self, now: float) -> None:
-        self._tokens = min(self._most, self._tokens + (now - self._at) * self._rate * self.factor)
-        self._at = now
+        self._tokens = min(
+            self._max_calls, self._tokens + (now - self._updated_at) * self._rate * self.factor
+        )
+        self._updated_at = now
 
     def acquire(self, now: float) -> float:
         self._refill(now)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
             return 0.0
-        if self._refused_use_it:
+        if self._count_rejected:
             # Bounded: however many calls are refused, a second without any gives room again.
-            self._tokens = max(1.0 - self._most, self._tokens - 1.0)
+            self._tokens = max(1.0 - self._max_calls, self._tokens - 1.0)
         return (1.0 - self._tokens) / (self._rate * self.factor)
 
     def available_calls(self, now: float) -> float:
@@ -54,45 +56,45 @@
         return self._tokens
 
     def available_share(self, now: float) -> float:
-        return max(0.0, min(1.0, self.available_calls(now) / self._most))
+        return max(0.0, min(1.0, self.available_calls(now) / self._max_calls))
 
 
 class FixedWindowLimiter:
     """A count in each span of fixed length."""
 
-    def __init__(self, rate: float, span: float, refused_use_it: bool) -> None:
+    def __init__(self, rate: float, window: float, count_rejected: bool) -> None:
         self.factor = 1.0
-        self._count = rate * span
-        self._span = span
-        self._refused_use_it = refused_use_it
+        self._full_count = rate * window
+        self._window = window
+        self._count_rejected = count_rejected
         self._used = 0.0
-        self._ends = span
+        self._window_end = window
 
     @property
-    def _most(self) -> float:
-        return max(1.0, self._count * self.factor)
+    def _max_calls(self) -> float:
+        return max(1.0, self._full_count * self.factor)
 
-    def _roll(self, now: float) -> None:
-        if now >= self._ends:
+    def _advance(self, now: float) -> None:
+        if now >= self._window_end:
             # What was refused above the count may be charged to the next span, half of it at the most.
-            self._used = min(max(0.0, self._used - self._most), self._most / 2.0)
-            self._ends = (now // self._span + 1.0) * self._span
+            self._used = min(max(0.0, self._used - self._max_calls), self._max_calls / 2.0)
+            self._window_end = (now // self._window + 1.0) * self._window
 
     def acquire(self, now: float) -> float:
-        self._roll(now)
-        if self._used + 1.0 <= self._most:
+        self._advance(now)
+        if self._used + 1.0 <= self._max_calls:
             self._used += 1.0
             return 0.0
-        if self._refused_use_it:
+        if self._count_rejected:
             self._used += 1.0
-        return self._ends - now
+        return self._window_end - now
 
     def available_calls(self, now: float) -> float:
-        self._roll(now)
-        return self._most - self._used
+        self._advance(now)
+        return self._max_calls - self._used
 
     def available_share(self, now: float) -> float:
-        return max(0.0, self.available_calls(now) / self._most)
+        return max(0.0, self.available_calls(now) / self._max_calls)
 
 
 def make_limiter(limit: Limit, rate: float) -> Limiter:
--- a/irisstack/lab/partner.py
+++ b/irisstack/lab/partner.py
@@ -14,15 +14,15 @@
 from irisstack.lab.scenario import Cold, Kind, MessageClass
 from irisstack.lab.world import DestinationSpec, EndpointSpec, World
 
-FAST = 0.01
+FAST_FAILURE_DELAY = 0.01
 """Seconds after which a call that fails fast is answered."""
-LEAST_DEPTH = 4.0
+MIN_OVERLOAD_CALLS = 4.0
 """Calls beyond its capacity that any cold destination bears: one clump must not push a small one over."""
-TICK = 1e-6
+PAUSE_END_TOLERANCE = 1e-6
 """Seconds: a pause that is over but for less than this is over."""
-FORGET_EVERY = 4096
+KEY_CLEANUP_INTERVAL = 4096
 """Keys looked at before those whose time is over are dropped."""
-REPORT_EVERY = 0.2
+REPORT_INTERVAL = 0.2
 """Seconds for which a reported share of the limit stands before it is read anew."""
 
 Status = Literal["ok", "error", "refused"]
@@ -61,7 +61,7 @@
 class Host(Protocol):
     """Who carries out what a partner wants done."""
 
-    def call_later(self, delay: float, act: Callable[..., None], *arguments: object) -> None:
+    def call_later(self, delay: float, callback: Callable[..., None], *arguments: object) -> None:
         """Call `act(now, *arguments)` that many seconds from now."""
 
     def send_answer(self, now: float, endpoint: "Endpoint", call: PartnerCall, answer: Answer) -> None:
@@ -106,9 +106,9 @@
         """When the present pause ends, or 0.0."""
         if not self.pause_period:
             return 0.0
-        into = (now - self.pauses_start) % self.pause_period
-        left = self.pause_duration - into
-        return now + left if left > TICK else 0.0
+        elapsed = (now - self.pauses_start) % self.pause_period
+        remaining = self.pause_duration - elapsed
+        return now + remaining if remaining > PAUSE_END_TOLERANCE else 0.0
 
 
 class Warmup:
@@ -121,36 +121,36 @@
     def __init__(self, cold: Cold, capacity: float) -> None:
         self._cold = cold
         self._capacity = capacity  # calls a second when warm
-        self._returned = -1e9
+        self._began_at = -1e9
         self._level = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def begin(self, now: float) -> None:
-        self._returned, self._level, self._at = now, 0.0, now
+        self._began_at, self._level, self._updated_at = now, 0.0, now
 
     def capacity_share(self, now: float) -> float:
         """The part of its capacity that it has."""
-        warm = (now - self._returned) / self._cold.warm_s
-        return 1.0 if warm >= 1.0 else self._cold.start + (1.0 - self._cold.start) * max(0.0, warm)
+        progress = (now - self._began_at) / self._cold.warm_s
+        return 1.0 if progress >= 1.0 else self._cold.start + (1.0 - self._cold.start) * max(0.0, progress)
 
     def add_load(self, now: float, amount: float) -> bool:
         """Take a call's load, in single calls; returns whether it was too much."""
         share = self.capacity_share(now)
         if share >= 1.0:
             return False
-        bearable = self._capacity * share * self._cold.tip_multiple
-        self._level = max(0.0, self._level - (now - self._at) * bearable) + amount
-        self._at = now
-        return self._level > max(LEAST_DEPTH, bearable * self._cold.tip_s)
+        tolerated_rate = self._capacity * share * self._cold.tip_multiple
+        self._level = max(0.0, self._level - (now - self._updated_at) * tolerated_rate) + amount
+        self._updated_at = now
+        return self._level > max(MIN_OVERLOAD_CALLS, tolerated_rate * self._cold.tip_s)
 
     def available_calls(self, now: float) -> float:
         """Calls that it would bear now, with a fifth to spare."""
         share = self.capacity_share(now)
         if share >= 1.0:
             return float("inf")
-        bearable = self._capacity * share * self._cold.tip_multiple
-        level = max(0.0, self._level - (now - self._at) * bearable)
-        return 0.8 * max(LEAST_DEPTH, bearable * self._cold.tip_s) - level
+        tolerated_rate = self._capacity * share * self._cold.tip_multiple
+        level = max(0.0, self._level - (now - self._updated_at) * tolerated_rate)
+        return 0.8 * max(MIN_OVERLOAD_CALLS, tolerated_rate * self._cold.tip_s) - level
 
 
 class Destination:
@@ -168,10 +168,10 @@
         self.down_until = 0.0
         self.sends_reports = world.scenario.endpoint_list.reports and self.limiter is not None
         self._host = host
-        self._keys: dict[int, float] = {}
-        self._looked = 0
+        self._key_expiry: dict[int, float] = {}
+        self._lookups = 0
         self._report: tuple[float, ...] = ()
-        self._report_at = -1e9
+        self._reported_at = -1e9
         for endpoint in spec.endpoints:
             self.add_endpoint(endpoint, world.streams)
 
@@ -181,37 +181,37 @@
 
     def is_duplicate(self, now: float, item: Item) -> bool:
         """Whether a repeat of this message is dropped; the first one is remembered from now on."""
-        kind = self.message_classes[item.message_class]
-        if kind.repeat != "keyed":
+        item_class = self.message_classes[item.message_class]
+        if item_class.repeat != "keyed":
             return False
-        self._looked += 1
-        if self._looked >= FORGET_EVERY:
-            self._keys = {key: until for key, until in self._keys.items() if until > now}
-            self._looked = 0
-        if self._keys.get(item.chain, 0.0) > now:
+        self._lookups += 1
+        if self._lookups >= KEY_CLEANUP_INTERVAL:
+            self._key_expiry = {key: expiry for key, expiry in self._key_expiry.items() if expiry > now}
+            self._lookups = 0
+        if self._key_expiry.get(item.chain, 0.0) > now:
             return True
-        self._keys[item.chain] = now + kind.window_s
+        self._key_expiry[item.chain] = now + item_class.window_s
         return False
 
     def load_report(self, now: float) -> tuple[float, ...]:
         """The share left of its limit and the limit in calls a second, a little stale."""
         if self.limiter is None or not self.sends_reports:
             return ()
-        if now - self._report_at >= REPORT_EVERY:
+        if now - self._reported_at >= REPORT_INTERVAL:
             self._report = (
                 round(self.limiter.available_share(now), 2),
                 self.spec.rate_limit * self.limiter.factor,
             )
-            self._report_at = now
+            self._reported_at = now
         return self._report
 
-    def has_capacity(self, now: float, coming: int) -> bool:
+    def has_capacity(self, now: float, in_flight: int) -> bool:
         """Whether limit and strength would take one more call, with so many on their way."""
-        heaviest = 1.0 + self.kind.shared_part * (self.kind.shared_calls - 1)
+        max_load = 1.0 + self.kind.shared_part * (self.kind.shared_calls - 1)
         return (
             now >= self.down_until
-            and (self.limiter is None or self.limiter.available_calls(now) >= coming + 1)
-            and self.warmup.available_calls(now) >= heaviest * (coming + 1)
+            and (self.limiter is None or self.limiter.available_calls(now) >= in_flight + 1)
+            and self.warmup.available_calls(now) >= max_load * (in_flight + 1)
         )
 
     def fail_from_overload(self, now: float) -> None:
@@ -234,10 +234,10 @@
         self.conditions = Conditions()
         self.connection_count = 0
         self._host = host
-        self._chance = streams.uniform("endpoint", spec.number)
+        self._random = streams.uniform("endpoint", spec.number)
         self._running: set[PartnerCall] = set()
-        self._line: deque[PartnerCall] = deque()
-        self._held: dict[PartnerCall, None] = {}  # not answered yet, in order of coming
+        self._queue: deque[PartnerCall] = deque()
+        self._unanswered: dict[PartnerCall, None] = {}  # not answered yet, in order of coming
 
     # ---- connections ----
 
@@ -269,7 +269,7 @@
             or c.reset_probability >= 0.5
         ):
             return 0
-        return self.spec.concurrency + min(1, self.spec.queue_limit) - len(self._running) - len(self._line)
+        return self.spec.concurrency + min(1, self.spec.queue_limit) - len(self._running) - len(self._queue)
 
     # ---- calls ----
 
@@ -281,18 +281,18 @@
             return
         if conditions.host_unreachable:
             return
-        self._held[call] = None
+        self._unanswered[call] = None
         if conditions.silent:
-            if self._chance() < conditions.execution_probability:
-                self._carry_out(now, call)
+            if self._random() < conditions.execution_probability:
+                self._execute(now, call)
             return
-        pause = conditions.pause_end(now)
-        if pause:
-            self._host.call_later(pause - now, self._take, call)
+        resumes_at = conditions.pause_end(now)
+        if resumes_at:
+            self._host.call_later(resumes_at - now, self._process, call)
         else:
-            self._take(now, call)
+            self._process(now, call)
 
-    def _take(self, now: float, call: PartnerCall) -> None:
+    def _process(self, now: float, call: PartnerCall) -> None:
         destination, conditions = self.destination, self.conditions
         if call.ended:
             return
@@ -301,13 +301,15 @@
             destination.fail_from_overload(now)
             return
         if now < conditions.refuses_until:
-            tells = self._chance() < conditions.retry_after_probability
-            self._answer(now, call, Answer("refused", conditions.refuses_until - now if tells else 0.0))
+            sends_retry_after = self._random() < conditions.retry_after_probability
+            self._answer(
+                now, call, Answer("refused", conditions.refuses_until - now if sends_retry_after else 0.0)
+            )
             return
         if conditions.draining:
             self._answer(now, call, Answer("refused"))
             return
-        fails = (
+        class_probability = (
             max(
                 (conditions.class_error_probability.get(item.message_class, 0.0) for item in call.items),
                 default=0.0,
@@ -315,35 +317,37 @@
             if conditions.class_error_probability
             else 0.0
         )
-        if (fails or conditions.error_probability) and self._chance() < max(
-            fails, conditions.error_probability
+        if (class_probability or conditions.error_probability) and self._random() < max(
+            class_probability, conditions.error_probability
         ):
-            if self._chance() < conditions.execution_probability:
-                self._carry_out(now, call)
-            self._host.call_later(FAST, self._answer, call, Answer("error"))
+            if self._random() < conditions.execution_probability:
+                self._execute(now, call)
+            self._host.call_later(FAST_FAILURE_DELAY, self._answer, call, Answer("error"))
             return
         if destination.limiter is not None and (wait := destination.limiter.acquire(now)):
             limit = destination.kind.limit
-            tells = limit is not None and self._chance() < limit.tells_wait
-            self._answer(now, call, Answer("refused", wait if tells else 0.0, destination.load_report(now)))
+            sends_retry_after = limit is not None and self._random() < limit.tells_wait
+            self._answer(
+                now, call, Answer("refused", wait if sends_retry_after else 0.0, destination.load_report(now))
+            )
             return
-        if conditions.reset_probability and self._chance() < conditions.reset_probability:
-            if self._chance() < conditions.execution_probability:
-                self._carry_out(now, call)
-            self._end(call)
+        if conditions.reset_probability and self._random() < conditions.reset_probability:
+            if self._random() < conditions.execution_probability:
+                self._execute(now, call)
+            self._mark_ended(call)
             self._host.drop_connection(now, self, call)
             return
         if len(self._running) < self.spec.concurrency:
             self._start(now, call)
-        elif len(self._line) < self.spec.queue_limit:
-            self._line.append(call)
+        elif len(self._queue) < self.spec.queue_limit:
+            self._queue.append(call)
         else:
             self._answer(now, call, Answer("refused", 0.0, destination.load_report(now)))
 
     def abandon(self, call: PartnerCall) -> None:
         """The call's sender has given it up."""
         call.abandoned = True
-        self._held.pop(call, None)
+        self._unanswered.pop(call, None)
 
     def _start(self, now: float, call: PartnerCall) -> None:
         destination, kind = self.destination, self.destination.kind
@@ -361,61 +365,61 @@
     def _finish(self, now: float, call: PartnerCall) -> None:
         if call not in self._running:
             return  # lost when the destination fell over
-        pause = self.conditions.pause_end(now)
-        if pause:
-            self._host.call_later(pause - now, self._finish, call)
+        resumes_at = self.conditions.pause_end(now)
+        if resumes_at:
+            self._host.call_later(resumes_at - now, self._finish, call)
             return
         self._running.remove(call)
-        self._carry_out(now, call)
+        self._execute(now, call)
         conditions = self.conditions
         if (
             conditions.silent
             or conditions.host_unreachable
-            or (conditions.answer_loss_probability and self._chance() < conditions.answer_loss_probability)
+            or (conditions.answer_loss_probability and self._random() < conditions.answer_loss_probability)
         ):
             pass  # carried out, and nobody hears of it
         elif (
             conditions.malformed_answer_probability
-            and self._chance() < conditions.malformed_answer_probability
+            and self._random() < conditions.malformed_answer_probability
         ):
-            self._end(call)
+            self._mark_ended(call)
             self._host.send_malformed_answer(now, self, call)
         else:
             rate = self.destination.kind.error_rate
-            failed = rate > 0.0 and self._chance() < rate
+            failed = rate > 0.0 and self._random() < rate
             self._answer(
                 now, call, Answer("error" if failed else "ok", 0.0, self.destination.load_report(now))
             )
-        self._next(now)
+        self._start_queued(now)
 
-    def _next(self, now: float) -> None:
-        while self._line and len(self._running) < self.spec.concurrency:
-            call = self._line.popleft()
+    def _start_queued(self, now: float) -> None:
+        while self._queue and len(self._running) < self.spec.concurrency:
+            call = self._queue.popleft()
             if not call.abandoned or self.destination.kind.cancelled_run_on:
                 self._start(now, call)
 
-    def _carry_out(self, now: float, call: PartnerCall) -> None:
+    def _execute(self, now: float, call: PartnerCall) -> None:
         for item in call.items:
             self._host.message_executed(now, self, item, not self.destination.is_duplicate(now, item))
 
     def _answer(self, now: float, call: PartnerCall, answer: Answer) -> None:
         if self.conditions.silent or self.conditions.host_unreachable:
             return
-        self._end(call)
+        self._mark_ended(call)
         if not call.abandoned:
             self._host.send_answer(now, self, call, answer)
 
-    def _end(self, call: PartnerCall) -> None:
+    def _mark_ended(self, call: PartnerCall) -> None:
         call.ended = True
-        self._held.pop(call, None)
+        self._unanswered.pop(call, None)
 
     def drop_all_calls(self, now: float) -> None:
         """Everything that is held here ends without an answer: the system is down, or its process is new."""
-        held = list(self._held)
-        self._held.clear()
-        self._line.clear()
+        unanswered = list(self._unanswered)
+        self._unanswered.clear()
+        self._queue.clear()
         self._running.clear()
-        for call in held:
+        for call in unanswered:
             call.ended = True
             if not call.abandoned and not self.conditions.host_unreachable:
                 self._host.drop_connection(now, self, call)
--- a/tests/lab/support.py
+++ b/tests/lab/support.py
@@ -58,8 +58,8 @@
     """The small scenario with troubles appended, or keys changed (`traffic__rate=3.0`)."""
     path = folder / "small.toml"
     path.write_text(SMALL_SCENARIO + extra)
-    named = {key.replace("__", "."): value for key, value in changes.items()}
-    return scenario.with_changes(scenario.read(path), named, path)
+    dotted = {key.replace("__", "."): value for key, value in changes.items()}
+    return scenario.with_changes(scenario.read(path), dotted, path)
 
 
 def small_world(folder: Path, extra: str = "", seed: int = 1, **changes: Any) -> world.World:
