--- a/irisstack/lab/limits.py
+++ b/irisstack/lab/limits.py
@@ -1,4 +1,4 @@
-"""A destination's limit: how many calls it takes from all senders together. Pure; the clock is handed in."""
+"""Call limits of a destination, over all senders together. The caller passes the time."""
 
 from typing import Protocol
 
@@ -6,23 +6,23 @@
 
 
 class Limiter(Protocol):
-    """Takes calls or tells how long there is no room."""
+    """Admits calls, or says how long to wait."""
 
     factor: float
-    """The part of the limit that is in force; troubles lower it."""
+    """The share of the limit that is in force; troubles lower it."""
 
     def acquire(self, now: float) -> float:
-        """0.0 if the call is taken, else the seconds until there is room."""
+        """Admit a call and return 0.0, or return the seconds until the next call is admitted."""
 
     def available_calls(self, now: float) -> float:
-        """Calls that it would take now."""
+        """Calls that would be admitted now."""
 
     def available_share(self, now: float) -> float:
-        """The share of the limit that is left, from 0 to 1."""
+        """The unused share of the limit, from 0 to 1."""
 
 
 class TokenBucketLimiter:
-    """A plain rate: tokens that come back evenly, a second's worth at most."""
+    """A token bucket that is refilled at a constant rate and holds the tokens of one second."""
 
     def __init__(self, rate: float, count_rejected: bool) -> None:
         self.factor = 1.0
@@ -47,7 +47,7 @@
             self._tokens -= 1.0
             return 0.0
         if self._count_rejected:
-            # Bounded: however many calls are refused, a second without any gives room again.
+            # Bounded, so that after any number of rejected calls one second without calls restores a token.
             self._tokens = max(1.0 - self._max_calls, self._tokens - 1.0)
         return (1.0 - self._tokens) / (self._rate * self.factor)
 
@@ -60,7 +60,7 @@
 
 
 class FixedWindowLimiter:
-    """A count in each span of fixed length."""
+    """A number of calls in each time window of fixed length."""
 
     def __init__(self, rate: float, window: float, count_rejected: bool) -> None:
         self.factor = 1.0
@@ -76,7 +76,7 @@
 
     def _advance(self, now: float) -> None:
         if now >= self._window_end:
-            # What was refused above the count may be charged to the next span, half of it at the most.
+            # Rejected calls beyond the limit may count towards the next window, up to half of its limit.
             self._used = min(max(0.0, self._used - self._max_calls), self._max_calls / 2.0)
             self._window_end = (now // self._window + 1.0) * self._window
 
@@ -98,7 +98,7 @@
 
 
 def make_limiter(limit: Limit, rate: float) -> Limiter:
-    """The limiter that a scenario asks for, at a rate in calls a second."""
+    """The limiter for a scenario's limit, at a rate in calls a second."""
     if limit.form == "span":
         return FixedWindowLimiter(rate, limit.span_s, limit.refused_use_it)
     return TokenBucketLimiter(rate, limit.refused_use_it)
--- a/irisstack/lab/partner.py
+++ b/irisstack/lab/partner.py
@@ -1,7 +1,7 @@
-"""A partner's system: endpoints that take calls, queue, refuse, fall silent, come back cold and fall over.
+"""Model of a partner's system: its endpoints execute, queue, refuse, drop and fail calls.
 
-No socket and no clock: time comes in with each call, and what the partner wants done goes out through its
-`Host`, which is an event queue in virtual time and greenlets on real sockets.
+The model uses no sockets and no clock. Each method takes the current time, and the model acts through its
+`Host`: an event queue in virtual time, or greenlets on real sockets.
 """
 
 from collections import deque
@@ -15,15 +15,15 @@
 from irisstack.lab.world import DestinationSpec, EndpointSpec, World
 
 FAST_FAILURE_DELAY = 0.01
-"""Seconds after which a call that fails fast is answered."""
+"""Seconds until a call that fails fast is answered."""
 MIN_OVERLOAD_CALLS = 4.0
-"""Calls beyond its capacity that any cold destination bears: one clump must not push a small one over."""
+"""Calls beyond its capacity that any cold destination tolerates: one burst must not take a small one down."""
 PAUSE_END_TOLERANCE = 1e-6
-"""Seconds: a pause that is over but for less than this is over."""
+"""Seconds: a pause with less time than this remaining counts as over."""
 KEY_CLEANUP_INTERVAL = 4096
-"""Keys looked at before those whose time is over are dropped."""
+"""Idempotency keys looked up between two removals of expired ones."""
 REPORT_INTERVAL = 0.2
-"""Seconds for which a reported share of the limit stands before it is read anew."""
+"""Seconds for which a load report is reused before it is computed again."""
 
 Status = Literal["ok", "error", "refused"]
 
@@ -32,10 +32,10 @@
 class Item:
     """One message of a call, as the partner sees it."""
 
-    message: int  # the id of this handing in
-    chain: int  # the same for all handings in of one message
+    message: int  # the id of this submission
+    chain: int  # the same for all submissions of one message
     message_class: int
-    work: float  # times the class's mean
+    work: float  # as a multiple of the class's mean
 
 
 @dataclass(slots=True, eq=False)
@@ -44,14 +44,14 @@
 
     node: int
     items: Sequence[Item]
-    new_connection: bool  # the first on its connection
-    abandoned: bool = False  # its sender has given it up
+    new_connection: bool  # the first call on its connection
+    abandoned: bool = False  # its sender no longer waits for the answer
     ended: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """What an endpoint answers; `wait` in seconds, 0 for none told."""
+    """An endpoint's answer; `retry_after` in seconds, 0 if the answer carries none."""
 
     status: Status
     retry_after: float = 0.0
@@ -59,30 +59,30 @@
 
 
 class Host(Protocol):
-    """Who carries out what a partner wants done."""
+    """Carries out the actions of the model."""
 
     def call_later(self, delay: float, callback: Callable[..., None], *arguments: object) -> None:
-        """Call `act(now, *arguments)` that many seconds from now."""
+        """Call `callback(now, *arguments)` after `delay` seconds."""
 
     def send_answer(self, now: float, endpoint: "Endpoint", call: PartnerCall, answer: Answer) -> None:
-        """Write an answer."""
+        """Send an answer to a call."""
 
     def send_malformed_answer(self, now: float, endpoint: "Endpoint", call: PartnerCall) -> None:
-        """Write something that is no answer, and end the connection."""
+        """Send bytes that are not a valid answer, and close the connection."""
 
     def drop_connection(self, now: float, endpoint: "Endpoint", call: PartnerCall) -> None:
-        """End the call's connection without an answer."""
+        """Close the call's connection without an answer."""
 
     def message_executed(self, now: float, endpoint: "Endpoint", item: Item, effect: bool) -> None:
-        """A message has been carried out."""
+        """An endpoint has executed a message; `effect` is false for a duplicate."""
 
     def destination_overloaded(self, now: float, destination: int) -> None:
-        """A cold destination was pushed over."""
+        """Load has taken down a destination that was warming up."""
 
 
 @dataclass(slots=True)
 class Conditions:
-    """What is wrong with an endpoint just now; troubles set and clear it."""
+    """The faults of an endpoint that are in force; troubles set and clear them."""
 
     silent: bool = False
     refuses_until: float = 0.0
@@ -103,7 +103,7 @@
     idle_timeout: float = 0.0
 
     def pause_end(self, now: float) -> float:
-        """When the present pause ends, or 0.0."""
+        """When the pause in force at `now` ends; 0.0 outside a pause."""
         if not self.pause_period:
             return 0.0
         elapsed = (now - self.pauses_start) % self.pause_period
@@ -112,10 +112,11 @@
 
 
 class Warmup:
-    """How much a destination can do after an outage, and how it falls over: a feedback, not a flag.
+    """The capacity of a destination after an outage, and its failure under overload.
 
-    Load above what it bears fills a tank that empties at the load which it bears; a full tank takes the
-    system down, and it comes back cold once more, into whatever load is still there.
+    Overload accumulates in a leaky bucket that drains at the load which the destination tolerates. A full
+    bucket takes the destination down. It comes back cold again, into the load that is still offered: the
+    failure is a feedback loop, not a flag.
     """
 
     def __init__(self, cold: Cold, capacity: float) -> None:
@@ -126,15 +127,16 @@
         self._updated_at = 0.0
 
     def begin(self, now: float) -> None:
+        """The destination is up again, and cold."""
         self._began_at, self._level, self._updated_at = now, 0.0, now
 
     def capacity_share(self, now: float) -> float:
-        """The part of its capacity that it has."""
+        """The share of its full capacity that the destination has."""
         progress = (now - self._began_at) / self._cold.warm_s
         return 1.0 if progress >= 1.0 else self._cold.start + (1.0 - self._cold.start) * max(0.0, progress)
 
     def add_load(self, now: float, amount: float) -> bool:
-        """Take a call's load, in single calls; returns whether it was too much."""
+        """Add a load, in calls of one message each; returns whether it overloads the destination."""
         share = self.capacity_share(now)
         if share >= 1.0:
             return False
@@ -144,7 +146,7 @@
         return self._level > max(MIN_OVERLOAD_CALLS, tolerated_rate * self._cold.tip_s)
 
     def available_calls(self, now: float) -> float:
-        """Calls that it would bear now, with a fifth to spare."""
+        """Calls that it tolerates now, with a margin of 20 %."""
         share = self.capacity_share(now)
         if share >= 1.0:
             return float("inf")
@@ -154,7 +156,7 @@
 
 
 class Destination:
-    """What a partner's endpoints share: limit, strength after an outage, and remembered keys."""
+    """The state that a partner's endpoints share: call limit, warm-up and remembered idempotency keys."""
 
     def __init__(self, spec: DestinationSpec, world: World, host: Host) -> None:
         self.spec = spec
@@ -180,7 +182,7 @@
         return endpoint
 
     def is_duplicate(self, now: float, item: Item) -> bool:
-        """Whether a repeat of this message is dropped; the first one is remembered from now on."""
+        """Whether the message is dropped because its key is remembered; remembers a new key."""
         item_class = self.message_classes[item.message_class]
         if item_class.repeat != "keyed":
             return False
@@ -194,7 +196,7 @@
         return False
 
     def load_report(self, now: float) -> tuple[float, ...]:
-        """The share left of its limit and the limit in calls a second, a little stale."""
+        """The available share of the limit, and the limit in calls a second; up to `REPORT_INTERVAL` old."""
         if self.limiter is None or not self.sends_reports:
             return ()
         if now - self._reported_at >= REPORT_INTERVAL:
@@ -206,7 +208,7 @@
         return self._report
 
     def has_capacity(self, now: float, in_flight: int) -> bool:
-        """Whether limit and strength would take one more call, with so many on their way."""
+        """Whether limit and warm-up admit one more call beside the `in_flight` calls on their way."""
         max_load = 1.0 + self.kind.shared_part * (self.kind.shared_calls - 1)
         return (
             now >= self.down_until
@@ -215,7 +217,7 @@
         )
 
     def fail_from_overload(self, now: float) -> None:
-        """Pushed over: all that it holds is lost, and it is down for a while."""
+        """Go down under overload: every open call is lost, and the destination stays down for a while."""
         self.down_until = now + self.kind.cold.fallen_s
         self.warmup.begin(self.down_until)
         self._host.destination_overloaded(now, self.spec.number)
@@ -224,7 +226,7 @@
 
 
 class Endpoint:
-    """One endpoint."""
+    """Model of one endpoint."""
 
     def __init__(
         self, spec: EndpointSpec, destination: Destination, streams: RandomStreams, host: Host
@@ -237,12 +239,12 @@
         self._random = streams.uniform("endpoint", spec.number)
         self._running: set[PartnerCall] = set()
         self._queue: deque[PartnerCall] = deque()
-        self._unanswered: dict[PartnerCall, None] = {}  # not answered yet, in order of coming
+        self._unanswered: dict[PartnerCall, None] = {}  # in order of arrival
 
     # ---- connections ----
 
     def accepts_connections(self, now: float) -> bool | None:
-        """Whether a new connection is taken; `None` if nothing answers at all."""
+        """Whether it accepts a new connection; `None` if the connection attempt gets no reply."""
         conditions = self.conditions
         if conditions.host_unreachable:
             return None
@@ -251,11 +253,11 @@
         return not self.spec.max_connections or self.connection_count < self.spec.max_connections
 
     def drops_idle_connection(self, idle: float) -> bool:
-        """Whether a connection idle for so long has been dropped on the way, unseen by either end."""
+        """Whether the network has silently dropped a connection that was idle for `idle` seconds."""
         return 0.0 < self.conditions.idle_timeout < idle
 
     def available_slots(self, now: float) -> int:
-        """Calls that it would take in now and answer."""
+        """Calls that it would accept and answer now."""
         c = self.conditions
         if (
             c.silent
@@ -274,7 +276,7 @@
     # ---- calls ----
 
     def receive(self, now: float, call: PartnerCall) -> None:
-        """A call's last byte has come."""
+        """The last byte of a call has arrived."""
         destination, conditions = self.destination, self.conditions
         if now < destination.down_until:
             self._host.drop_connection(now, self, call)
@@ -296,7 +298,7 @@
         destination, conditions = self.destination, self.conditions
         if call.ended:
             return
-        # A further message of a shared call weighs what it adds to the call's work.
+        # Each message after the first in a batch call counts with the share that it adds to the call's work.
         if destination.warmup.add_load(now, 1.0 + destination.kind.shared_part * (len(call.items) - 1)):
             destination.fail_from_overload(now)
             return
@@ -328,7 +330,9 @@
             limit = destination.kind.limit
             sends_retry_after = limit is not None and self._random() < limit.tells_wait
             self._answer(
-                now, call, Answer("refused", wait if sends_retry_after else 0.0, destination.load_report(now))
+                now,
+                call,
+                Answer("refused", wait if sends_retry_after else 0.0, destination.load_report(now)),
             )
             return
         if conditions.reset_probability and self._random() < conditions.reset_probability:
@@ -345,7 +349,7 @@
             self._answer(now, call, Answer("refused", 0.0, destination.load_report(now)))
 
     def abandon(self, call: PartnerCall) -> None:
-        """The call's sender has given it up."""
+        """The call's sender no longer waits for its answer."""
         call.abandoned = True
         self._unanswered.pop(call, None)
 
@@ -364,7 +368,7 @@
 
     def _finish(self, now: float, call: PartnerCall) -> None:
         if call not in self._running:
-            return  # lost when the destination fell over
+            return  # lost when the destination failed under overload
         resumes_at = self.conditions.pause_end(now)
         if resumes_at:
             self._host.call_later(resumes_at - now, self._finish, call)
@@ -377,7 +381,7 @@
             or conditions.host_unreachable
             or (conditions.answer_loss_probability and self._random() < conditions.answer_loss_probability)
         ):
-            pass  # carried out, and nobody hears of it
+            pass  # executed, but no answer is sent
         elif (
             conditions.malformed_answer_probability
             and self._random() < conditions.malformed_answer_probability
@@ -414,7 +418,7 @@
         self._unanswered.pop(call, None)
 
     def drop_all_calls(self, now: float) -> None:
-        """Everything that is held here ends without an answer: the system is down, or its process is new."""
+        """End every open call without an answer: the system is down, or its process has been replaced."""
         unanswered = list(self._unanswered)
         self._unanswered.clear()
         self._queue.clear()
--- a/tests/lab/support.py
+++ b/tests/lab/support.py
@@ -1,4 +1,4 @@
-"""A small world to plant things in."""
+"""A small scenario and helpers to vary it."""
 
 from pathlib import Path
 from typing import Any
@@ -55,7 +55,7 @@
 
 
 def small_scenario(folder: Path, extra: str = "", **changes: Any) -> Scenario:
-    """The small scenario with troubles appended, or keys changed (`traffic__rate=3.0`)."""
+    """The small scenario, with TOML text appended and keys changed (`traffic__rate=3.0`)."""
     path = folder / "small.toml"
     path.write_text(SMALL_SCENARIO + extra)
     dotted = {key.replace("__", "."): value for key, value in changes.items()}
@@ -67,6 +67,6 @@
 
 
 def trouble_toml(kind: str, **keys: object) -> str:
-    """A trouble in the scenario's form."""
+    """A trouble as a TOML table."""
     lines = [f"{key} = {value!r}".replace("'", '"').replace("True", "true") for key, value in keys.items()]
     return "\n".join(["[[troubles]]", f'kind = "{kind}"', *lines, ""])
--- a/tests/lab/test_partner.py
+++ b/tests/lab/test_partner.py
@@ -1,4 +1,4 @@
-"""The model of a partner: limits, lines, keys, cold returns that feed back, and every kind of trouble."""
+"""The partner model: limits, queues, idempotency keys, overload while warming up and fault conditions."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -16,7 +16,7 @@
 
 
 class PartnerHarness:
-    """Carries out what a partner wants done, on a queue of its own."""
+    """Hosts one destination, schedules its callbacks and records its actions."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
         self.now = 0.0
@@ -38,10 +38,10 @@
         self.answers.append((now, call.items[0].message, answer))
 
     def send_malformed_answer(self, now: float, endpoint: Endpoint, call: PartnerCall) -> None:
-        self.closed.append(("spoilt", call.items[0].message))
+        self.closed.append(("malformed", call.items[0].message))
 
     def drop_connection(self, now: float, endpoint: Endpoint, call: PartnerCall) -> None:
-        self.closed.append(("cut", call.items[0].message))
+        self.closed.append(("dropped", call.items[0].message))
 
     def message_executed(self, now: float, endpoint: Endpoint, item: Item, effect: bool) -> None:
         self.executions.append((item.message, effect))
@@ -50,6 +50,7 @@
         self.overloads.append(now)
 
     def call(self, at: float, message: int, chain: int | None = None, message_class: int = 0) -> PartnerCall:
+        """Deliver a call to the endpoint at that time."""
         self.run_until(at)
         call = PartnerCall(0, [Item(message, chain or message, message_class, 1.0)], False)
         self.endpoint.receive(at, call)
@@ -71,7 +72,7 @@
         if not wait:
             admitted.append(now)
         elif not count_rejected:
-            assert TokenBucketLimiter.acquire(limiter, now + wait + 1e-6) == 0.0  # the told wait is enough
+            assert TokenBucketLimiter.acquire(limiter, now + wait + 1e-6) == 0.0  # the returned wait suffices
             now += wait + 1e-6
             admitted.append(now)
     for first in admitted:
@@ -108,16 +109,16 @@
 
 
 @pytest.mark.parametrize(
-    ("condition", "value", "answers", "ended", "ran"),
+    ("condition", "value", "answers", "closed", "executed"),
     [
         ("silent", True, [], [], True),
         ("host_unreachable", True, [], [], False),
         ("draining", True, ["refused"], [], False),
         ("refuses_until", 5.0, ["refused"], [], False),
         ("error_probability", 1.0, ["error"], [], True),
-        ("reset_probability", 1.0, [], ["cut"], True),
+        ("reset_probability", 1.0, [], ["dropped"], True),
         ("answer_loss_probability", 1.0, [], [], True),
-        ("malformed_answer_probability", 1.0, [], ["spoilt"], True),
+        ("malformed_answer_probability", 1.0, [], ["malformed"], True),
         ("class_error_probability", {0: 1.0}, ["error"], [], True),
     ],
 )
@@ -164,7 +165,7 @@
             now += 1.0 / (50.0 * warmup.capacity_share(now) * cold.tip_multiple * load_factor)
             overloaded = warmup.add_load(now, 1.0)
         assert overloaded is overloads
-        assert not warmup.add_load(111.0, 1000.0)  # warm: nothing pushes it over
+        assert not warmup.add_load(111.0, 1000.0)  # a warm destination is never overloaded
 
 
 def test_an_overloaded_destination_loses_its_open_calls_and_comes_back_cold(tmp_path: Path) -> None:
@@ -179,4 +180,4 @@
     assert harness.destination.warmup.capacity_share(up_again + 0.1) < 0.3
     served = sum(answer.status == "ok" for _, _, answer in harness.answers)
     harness.run_until(60.0)
-    assert sum(answer.status == "ok" for _, _, answer in harness.answers) == served  # what it held is lost
+    assert sum(answer.status == "ok" for _, _, answer in harness.answers) == served  # open calls were lost
