--- a/irisstack/lab/scenario.py
+++ b/irisstack/lab/scenario.py
@@ -13,7 +13,7 @@
 from irisstack.configuration.document import Section
 
 
-def _ordered(value: list[float]) -> list[float]:
+def _check_range(value: list[float]) -> list[float]:
     if value[0] > value[1]:
         raise ValueError(f"the low end comes first, not {value!r}")
     return value
@@ -23,11 +23,11 @@
 Share = Annotated[float, Field(ge=0.0, le=1.0)]
 Positive = Annotated[float, Field(gt=0.0)]
 Count = Annotated[int, Field(ge=1)]
-Pair = Annotated[list[Positive], Field(min_length=2, max_length=2), AfterValidator(_ordered)]
-SecondsPair = Annotated[list[Seconds], Field(min_length=2, max_length=2), AfterValidator(_ordered)]
-Drawn = Positive | Pair
+PositiveRange = Annotated[list[Positive], Field(min_length=2, max_length=2), AfterValidator(_check_range)]
+SecondsRange = Annotated[list[Seconds], Field(min_length=2, max_length=2), AfterValidator(_check_range)]
+ValueOrRange = Positive | PositiveRange
 """One positive number, or the ends between which one is drawn."""
-DrawnSeconds = Seconds | SecondsPair
+SecondsOrRange = Seconds | SecondsRange
 
 
 class MessageClass(Section):
@@ -69,7 +69,7 @@
 
     form: Literal["rate", "span"] = "rate"
     """A plain rate, or a count in each span of `span_s`."""
-    of_traffic: Drawn
+    of_traffic: ValueOrRange
     """Times the calls that its mean traffic makes."""
     least: Positive = 2.0
     """Calls a second at the least."""
@@ -106,9 +106,9 @@
     skew: Seconds = 0.0
     """How unevenly that part is spread: the n-th destination's part goes down with n to this power."""
     endpoints: Count | Annotated[list[Count], Field(min_length=2, max_length=2)] = 1
-    pace: Drawn = 1.0
+    pace: ValueOrRange = 1.0
     """Its call times over the classes' usual ones."""
-    capacity: Drawn = 1.5
+    capacity: ValueOrRange = 1.5
     """What it can do over its mean traffic."""
     least_capacity: Positive = 3.0
     """Calls a second that it can do at the least."""
@@ -136,10 +136,10 @@
     count: Count
     skew: Seconds = 0.0
     """How unevenly traffic is spread over them."""
-    slots: Drawn = 2.3
+    slots: ValueOrRange = 2.3
     """Calls out at once over what its part of the traffic keeps busy."""
     least_slots: Count = 4
-    room_s: Drawn = 10.0
+    room_s: ValueOrRange = 10.0
     """Seconds of its part of the traffic that it can hold."""
     least_room: Count = 12
     max_attempts: Count = 6
@@ -170,12 +170,12 @@
 
     retries: Annotated[int, Field(ge=0)] = 1
     """Times that a refused message is handed in again."""
-    backoff_s: DrawnSeconds = [0.3, 1.1]
+    backoff_s: SecondsOrRange = [0.3, 1.1]
     heed: Share = 0.8
     """Part of them that keep to the advice when to come back."""
     leave: Share = 0.0
     """Part that close their connection before they have read the answer."""
-    resend_s: DrawnSeconds = [0.3, 1.2]
+    resend_s: SecondsOrRange = [0.3, 1.2]
     """After a node could not be reached, the time until another is tried."""
 
 
@@ -183,7 +183,7 @@
     """The list of endpoints."""
 
     mode: Literal["pushed", "on_request"] = "pushed"
-    late_s: DrawnSeconds = [0.2, 1.0]
+    late_s: SecondsOrRange = [0.2, 1.0]
     """How late a change reaches a node."""
     rates: bool = True
     """Whether it tells each destination's rate."""
@@ -194,7 +194,7 @@
 class Network(Section):
     """Between nodes and endpoints."""
 
-    one_way_s: DrawnSeconds = [0.015, 0.045]
+    one_way_s: SecondsOrRange = [0.015, 0.045]
 
 
 class RuleFigures(Section):
@@ -232,8 +232,8 @@
         "stopped",
         "stalled",
     ]
-    at_s: DrawnSeconds
-    for_s: DrawnSeconds = 0.0
+    at_s: SecondsOrRange
+    for_s: SecondsOrRange = 0.0
     """How long it lasts; a killed node is down for so long, `replaced` is spread over it."""
     share: Annotated[float, Field(gt=0.0, le=1.0)] | None = None
     """Part of the destinations (or nodes) that it strikes, one at least."""
@@ -243,7 +243,7 @@
     """The destinations by number, instead of a part."""
     endpoints: Annotated[int, Field(ge=1)] | None = None
     """Only so many endpoints of each."""
-    strength: Drawn | None = None
+    strength: ValueOrRange | None = None
     """What it does, by kind: the part of calls that fail or are lost, the slowing, the part of the limit that
     is left, the part of all messages that go to the hot one, seconds of idleness or of further lateness."""
     period_s: Positive = 3.0
@@ -272,7 +272,15 @@
     "list_stale": 4.0,
 }
 """Where a trouble's strength is not told."""
-SHARES = {"fails_fast", "resets", "answers_lost", "answers_spoilt", "limit_lowered", "class_fails", "hot"}
+SHARE_TROUBLES = {
+    "fails_fast",
+    "resets",
+    "answers_lost",
+    "answers_spoilt",
+    "limit_lowered",
+    "class_fails",
+    "hot",
+}
 """Troubles whose strength is a part of something."""
 NODE_TROUBLES = {"killed", "stopped", "stalled"}
 LIST_TROUBLES = {"list_stale", "list_down"}
@@ -307,7 +315,9 @@
 
     @field_validator("classes", "kinds")
     @classmethod
-    def _named_once(cls, value: "list[MessageClass] | list[Kind]") -> "list[MessageClass] | list[Kind]":
+    def _check_unique_names(
+        cls, value: "list[MessageClass] | list[Kind]"
+    ) -> "list[MessageClass] | list[Kind]":
         names = [item.name for item in value]
         for name in names:
             if names.count(name) > 1:
@@ -315,38 +325,38 @@
         return value
 
     @model_validator(mode="after")
-    def _troubles_fit(self) -> "Scenario":
+    def _check_troubles(self) -> "Scenario":
         kinds = {kind.name for kind in self.kinds}
         total = sum(kind.count for kind in self.kinds)
-        wrong: list[str] = []
+        errors: list[str] = []
         for i, trouble in enumerate(self.troubles):
             where = f"troubles[{i}]"
             latest = trouble.at_s[1] if isinstance(trouble.at_s, list) else trouble.at_s
             if latest >= self.scenario.length_s:
-                wrong.append(
+                errors.append(
                     f"{where}.at_s: it begins at {latest:g} s, after the end at {self.scenario.length_s:g} s"
                 )
             if trouble.of_kind is not None and trouble.of_kind not in kinds:
-                wrong.append(f"{where}.of_kind: there is no kind {trouble.of_kind!r}")
+                errors.append(f"{where}.of_kind: there is no kind {trouble.of_kind!r}")
             if (trouble.kind == "class_fails") != (trouble.message_class is not None):
-                wrong.append(f"{where}.message_class: goes with class_fails, and only with it")
+                errors.append(f"{where}.message_class: goes with class_fails, and only with it")
             elif trouble.message_class and trouble.message_class not in {c.name for c in self.classes}:
-                wrong.append(f"{where}.message_class: nobody sends a class {trouble.message_class!r}")
+                errors.append(f"{where}.message_class: nobody sends a class {trouble.message_class!r}")
             if trouble.destinations and trouble.share is not None:
-                wrong.append(f"{where}: share and destinations exclude each other")
+                errors.append(f"{where}: share and destinations exclude each other")
             if any(number > total for number in trouble.destinations):
-                wrong.append(f"{where}.destinations: there are {total}")
+                errors.append(f"{where}.destinations: there are {total}")
             if trouble.destinations and trouble.kind in NODE_TROUBLES | LIST_TROUBLES:
-                wrong.append(f"{where}.destinations: {trouble.kind} strikes no destination")
+                errors.append(f"{where}.destinations: {trouble.kind} strikes no destination")
             strength = trouble.strength[1] if isinstance(trouble.strength, list) else trouble.strength
-            if strength is not None and trouble.kind in SHARES and strength > 1.0:
-                wrong.append(
+            if strength is not None and trouble.kind in SHARE_TROUBLES and strength > 1.0:
+                errors.append(
                     f"{where}.strength: for {trouble.kind} a part from 0 to 1 is due, not {strength:g}"
                 )
             if strength is not None and trouble.kind not in DEFAULT_STRENGTH:
-                wrong.append(f"{where}.strength: {trouble.kind} has none")
-        if wrong:
-            raise ValueError("; ".join(wrong))
+                errors.append(f"{where}.strength: {trouble.kind} has none")
+        if errors:
+            raise ValueError("; ".join(errors))
         return self
 
 
@@ -360,15 +370,15 @@
     raw = scenario.model_dump()
     problems = []
     for key, value in changes.items():
-        at: object = raw
+        container: object = raw
         *outer, last = key.split(".")
         try:
             for part in outer:
-                at = at[int(part)] if isinstance(at, list) else at[part]  # type: ignore[index]
-            if isinstance(at, list):
-                at[int(last)] = value
+                container = container[int(part)] if isinstance(container, list) else container[part]  # type: ignore[index]
+            if isinstance(container, list):
+                container[int(last)] = value
             else:
-                at[last] = value  # type: ignore[index]
+                container[last] = value  # type: ignore[index]
         except (KeyError, IndexError, ValueError, TypeError):
             problems.append(document.Problem(key, "no such key to change"))
     if problems:
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("extra", "changed", "due"),
+    ("extra", "replacement", "expected"),
     [
         ("", ("rate = 20.0", "rate = -1.0"), "traffic.rate"),
         ("", ("rate = 20.0", "rate = 20.0\nwaves = 3"), "traffic.waves: no such key"),
@@ -32,33 +32,33 @@
         (trouble_toml("explodes", at_s=1.0), None, "troubles[0].kind"),
     ],
 )
-def test_a_bad_scenario_is_refused(
-    tmp_path: Path, extra: str, changed: tuple[str, str] | None, due: str
+def test_an_invalid_scenario_is_refused(
+    tmp_path: Path, extra: str, replacement: tuple[str, str] | None, expected: str
 ) -> None:
-    text = SMALL_SCENARIO.replace(*changed, 1) if changed else SMALL_SCENARIO
-    assert changed is None or text != SMALL_SCENARIO
+    text = SMALL_SCENARIO.replace(*replacement, 1) if replacement else SMALL_SCENARIO
+    assert replacement is None or text != SMALL_SCENARIO
     path = tmp_path / "bad.toml"
     path.write_text(text + extra)
     with pytest.raises(DocumentError) as caught:
         scenario.read(path)
-    assert due in str(caught.value)
+    assert expected in str(caught.value)
 
 
-def test_a_key_that_is_not_there_cannot_be_changed(tmp_path: Path) -> None:
+def test_an_unknown_key_cannot_be_changed(tmp_path: Path) -> None:
     with pytest.raises(DocumentError, match="no such key"):
         small_scenario(tmp_path, "", senders__colour__shade=3)
 
 
-def test_all_shipped_scenarios_are_good_and_say_what_they_show() -> None:
+def test_shipped_scenarios_are_valid_and_have_a_description() -> None:
     paths = sorted(scenario.SCENARIO_DIRECTORY.glob("*.toml"))
     assert len(paths) >= 7
     for path in paths:
-        read = scenario.read(path)
-        assert read.scenario.name == path.stem
-        assert read.scenario.shows
+        loaded = scenario.read(path)
+        assert loaded.scenario.name == path.stem
+        assert loaded.scenario.shows
 
 
-def test_one_change_leaves_every_other_draw_as_it_was(tmp_path: Path) -> None:
+def test_a_change_leaves_all_other_random_draws_unchanged(tmp_path: Path) -> None:
     before = small_world(tmp_path)
     silent = trouble_toml("silent", at_s=[2.0, 4.0], for_s=2.0, share=0.5)
     after = small_world(tmp_path, silent, senders__slots=4.0)
@@ -67,8 +67,8 @@
     assert small_world(tmp_path, seed=2).messages != before.messages
 
 
-def test_drawn_capacity_is_what_work_and_servers_give(tmp_path: Path) -> None:
+def test_capacity_follows_from_concurrency_and_work(tmp_path: Path) -> None:
     for spec in small_world(tmp_path).destinations.values():
-        at_once = sum(endpoint.concurrency for endpoint in spec.endpoints)
+        concurrency = sum(endpoint.concurrency for endpoint in spec.endpoints)
         work = world.mean_work_seconds(small_scenario(tmp_path)) * spec.duration_factor
-        assert at_once / work == pytest.approx(spec.capacity)
+        assert concurrency / work == pytest.approx(spec.capacity)
