--- a/irisstack/lab/scenario.py
+++ b/irisstack/lab/scenario.py
@@ -1,7 +1,7 @@
-"""A scenario: the file that describes a world, its traffic and its troubles.
+"""The scenario file: destinations, senders, traffic and troubles of a simulated world.
 
-Times are seconds, rates are messages a second. Where a figure may be drawn anew for each destination, sender
-or trouble, either one number or a pair `[low, high]` stands.
+Times are in seconds, rates in messages a second. A value that may be drawn for each destination, sender or
+trouble is either one number or a range `[low, high]`.
 """
 
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 def _check_range(value: list[float]) -> list[float]:
     if value[0] > value[1]:
-        raise ValueError(f"the low end comes first, not {value!r}")
+        raise ValueError(f"expected [low, high], got {value!r}")
     return value
 
 
@@ -26,7 +26,7 @@
 PositiveRange = Annotated[list[Positive], Field(min_length=2, max_length=2), AfterValidator(_check_range)]
 SecondsRange = Annotated[list[Seconds], Field(min_length=2, max_length=2), AfterValidator(_check_range)]
 ValueOrRange = Positive | PositiveRange
-"""One positive number, or the ends between which one is drawn."""
+"""One positive number, or a range from which one is drawn uniformly."""
 SecondsOrRange = Seconds | SecondsRange
 
 
@@ -35,64 +35,64 @@
 
     name: str = Field(min_length=1)
     share: Positive
-    """Its part of all messages, beside the other classes' parts."""
+    """Its share of all messages, relative to the shares of the other classes."""
     repeat: Literal["safe", "keyed", "unsafe"]
-    """What a second delivery does: nothing, nothing while the key is remembered, or a second effect."""
+    """Effect of a second delivery: none, none while the key is remembered, or a second effect."""
     window_s: Seconds = 0.0
-    """Keyed: for how long a destination remembers a key."""
+    """For a keyed class: the time for which a destination remembers a key."""
     scope: Literal["destination", "zone"] = "destination"
     aim_s: Positive
-    """Within which it has its whole worth."""
+    """Latency target: a message delivered within it has its full worth."""
     deadline_s: Positive
-    """After which it is given up."""
+    """Time after which a message is given up."""
     worth: Positive = 1.0
     late_worth: Share = 0.0
-    """The part of its worth that is left at the deadline."""
+    """Share of its worth that remains at the deadline."""
     work_s: Positive
-    """Mean time of a call at a destination of usual pace."""
+    """Mean duration of a call with one message, at a destination with pace 1."""
     work_spread: Seconds = 0.5
-    """Standard deviation of that time over its mean."""
+    """Standard deviation of that duration, divided by its mean."""
     order_keys: Annotated[int, Field(ge=0)] = 0
-    """Keys for each destination within which order is kept; 0: no order is asked for."""
+    """Ordering keys for each destination; 0: the class is not ordered."""
 
     @model_validator(mode="after")
     def _consistent(self) -> "MessageClass":
         if self.deadline_s < self.aim_s:
-            raise ValueError(f"deadline_s ({self.deadline_s:g}) is below aim_s ({self.aim_s:g})")
+            raise ValueError(f"deadline_s ({self.deadline_s:g}) must not be below aim_s ({self.aim_s:g})")
         if self.repeat == "keyed" and not self.window_s:
-            raise ValueError("a keyed class needs window_s")
+            raise ValueError("a keyed class requires window_s above 0")
         return self
 
 
 class Limit(Section):
-    """How many calls a destination takes, over all senders together."""
+    """Limit on the calls that a destination accepts from all senders together."""
 
     form: Literal["rate", "span"] = "rate"
-    """A plain rate, or a count in each span of `span_s`."""
+    """`rate`: a token bucket. `span`: a number of calls in each fixed window of `span_s`."""
     of_traffic: ValueOrRange
-    """Times the calls that its mean traffic makes."""
+    """The limit as a multiple of the destination's mean traffic."""
     least: Positive = 2.0
-    """Calls a second at the least."""
+    """Smallest limit, in calls a second."""
     span_s: Positive = 1.0
     refused_use_it: bool = False
-    """Whether refused calls use the limit up too."""
+    """Whether refused calls count towards the limit as well."""
     tells_wait: Share = 0.0
-    """Part of the refusals that tell how long to wait."""
+    """Share of the refusals that carry Retry-After."""
 
 
 class Cold(Section):
-    """A destination after an outage."""
+    """Warm-up of a destination after an outage."""
 
     start: Annotated[float, Field(gt=0.0, le=1.0)] = 0.2
-    """Part of its capacity that it has at its return."""
+    """Share of its capacity that it has when it comes back."""
     warm_s: Positive = 8.0
-    """Time until it has all of it."""
+    """Time until it has its full capacity."""
     tip_multiple: Annotated[float, Field(ge=1.0)] = 2.5
-    """Load over present capacity that it bears without harm."""
+    """Load that it tolerates, as a multiple of its present capacity."""
     tip_s: Positive = 3.0
-    """For about this long it bears twice that load before it falls over."""
+    """Time for which it tolerates about twice that load before it fails."""
     fallen_s: Seconds = 6.0
-    """Time that it stays down after falling over; it comes back cold."""
+    """Time for which it is down after it has failed under load; it comes back cold."""
 
 
 class Kind(Section):
@@ -100,33 +100,33 @@
 
     name: str = Field(min_length=1)
     count: Count
-    """Destinations of this kind."""
+    """Number of destinations of this kind."""
     traffic: Positive = 1.0
-    """Its part of all messages, beside the other kinds' parts."""
+    """Its share of all messages, relative to the shares of the other kinds."""
     skew: Seconds = 0.0
-    """How unevenly that part is spread: the n-th destination's part goes down with n to this power."""
+    """Skew of that share: the n-th destination's part of it is proportional to 1 / n ** skew."""
     endpoints: Count | Annotated[list[Count], Field(min_length=2, max_length=2)] = 1
     pace: ValueOrRange = 1.0
-    """Its call times over the classes' usual ones."""
+    """Duration of its calls, as a multiple of the classes' mean durations."""
     capacity: ValueOrRange = 1.5
-    """What it can do over its mean traffic."""
+    """Its capacity, as a multiple of its mean traffic."""
     least_capacity: Positive = 3.0
-    """Calls a second that it can do at the least."""
+    """Smallest capacity, in calls a second."""
     queue: Seconds = 4.0
-    """Calls that an endpoint holds in line, for each call that it serves at once."""
+    """Calls that an endpoint queues, for each call that it serves concurrently."""
     limit: Limit | None = None
     shared_calls: Count = 1
-    """The most messages in a call."""
+    """Maximum number of messages in a batch call."""
     shared_part: Share = 0.2
-    """Of each further message's work in a shared call that adds to the call's time."""
+    """Share of its work that each further message of a batch call adds to the call's duration."""
     separate_routes: bool = False
     connections: Annotated[int, Field(ge=0)] = 0
-    """Connections that an endpoint holds for each call that it serves at once, idle ones too; 0: no bound."""
+    """Connections, idle ones included, that an endpoint accepts for each concurrent call; 0: unlimited."""
     handshake_s: Seconds = 0.05
-    """What a new connection adds to its first call."""
+    """Time that a new connection adds to its first call."""
     error_rate: Share = 0.0
     cancelled_run_on: bool = True
-    """Whether a call in line whose sender has left is still carried out."""
+    """Whether a queued call is still executed after its sender has closed the connection."""
     cold: Cold = Cold()
 
 
@@ -135,12 +135,12 @@
 
     count: Count
     skew: Seconds = 0.0
-    """How unevenly traffic is spread over them."""
+    """Skew of their traffic, as for the destinations of a kind."""
     slots: ValueOrRange = 2.3
-    """Calls out at once over what its part of the traffic keeps busy."""
+    """Concurrent calls of a sender, as a multiple of those that its traffic keeps busy on average."""
     least_slots: Count = 4
     room_s: ValueOrRange = 10.0
-    """Seconds of its part of the traffic that it can hold."""
+    """Maximum number of pending messages, in seconds of the sender's traffic."""
     least_room: Count = 12
     max_attempts: Count = 6
     may_cancel: bool = True
@@ -152,63 +152,64 @@
 
 
 class Traffic(Section):
-    """What clients hand in."""
+    """The messages that clients submit."""
 
     rate: Positive
-    """Messages a second, first tries alone."""
+    """Messages a second, without clients' retries."""
     swing: Share = 0.0
-    """A wave: its height over the mean."""
+    """Amplitude of a sinusoidal change of the rate, as a share of the mean rate."""
     wave_s: Positive = 20.0
+    """Period of that change."""
     clumped: Share = 0.0
-    """Part of the messages that come in clumps for one destination."""
+    """Share of the messages that arrive in bursts for one destination."""
     clump: Count = 8
-    """Messages in a clump."""
+    """Messages in a burst."""
 
 
 class Clients(Section):
-    """How those who hand in messages behave."""
+    """Behaviour of the clients."""
 
     retries: Annotated[int, Field(ge=0)] = 1
-    """Times that a refused message is handed in again."""
+    """How often a client submits a refused message again."""
     backoff_s: SecondsOrRange = [0.3, 1.1]
     heed: Share = 0.8
-    """Part of them that keep to the advice when to come back."""
+    """Share of the clients that honour Retry-After."""
     leave: Share = 0.0
-    """Part that close their connection before they have read the answer."""
+    """Share of the clients that close the connection before they have read the answer."""
     resend_s: SecondsOrRange = [0.3, 1.2]
-    """After a node could not be reached, the time until another is tried."""
+    """Time until a client tries another node after one could not be reached."""
 
 
 class EndpointList(Section):
-    """The list of endpoints."""
+    """The platform's endpoint list."""
 
     mode: Literal["pushed", "on_request"] = "pushed"
     late_s: SecondsOrRange = [0.2, 1.0]
-    """How late a change reaches a node."""
+    """Delay until a change reaches a node."""
     rates: bool = True
-    """Whether it tells each destination's rate."""
+    """Whether the list carries each destination's rate."""
     reports: bool = True
-    """Whether endpoints tell the share left of their limit, and the limit, in their answers."""
+    """Whether answers report the available share of the destination's limit, and the limit."""
 
 
 class Network(Section):
-    """Between nodes and endpoints."""
+    """The network between nodes and endpoints."""
 
     one_way_s: SecondsOrRange = [0.015, 0.045]
 
 
 class RuleFigures(Section):
-    """The figures of the six rules."""
+    """Tolerances of the six rules."""
 
     answer_slack_s: Seconds = 0.3
     drain_grace_s: Seconds = 0.25
     order_pause_s: Seconds = 0.0
     wait_slack_s: Seconds = 0.1
-    """Calls that leave within this time after a wait was told are let through."""
+    """Calls sent within this time after a Retry-After do not break the rule."""
 
 
 class Trouble(Section):
-    """Something that goes wrong."""
+    """A fault or disturbance."""
 
     kind: Literal[
         "fails_fast",
@@ -234,28 +235,29 @@
     ]
     at_s: SecondsOrRange
     for_s: SecondsOrRange = 0.0
-    """How long it lasts; a killed node is down for so long, `replaced` is spread over it."""
+    """Duration; a killed node is down for it, and `replaced` spreads its replacements over it."""
     share: Annotated[float, Field(gt=0.0, le=1.0)] | None = None
-    """Part of the destinations (or nodes) that it strikes, one at least."""
+    """Share of the destinations (or nodes) that are affected, at least one."""
     of_kind: str | None = None
-    """Only destinations of this kind."""
+    """Affects only destinations of this kind."""
     destinations: list[Annotated[int, Field(ge=1)]] = []
-    """The destinations by number, instead of a part."""
+    """Numbers of the affected destinations, instead of a share."""
     endpoints: Annotated[int, Field(ge=1)] | None = None
-    """Only so many endpoints of each."""
+    """Affects only this many endpoints of each destination."""
     strength: ValueOrRange | None = None
-    """What it does, by kind: the part of calls that fail or are lost, the slowing, the part of the limit that
-    is left, the part of all messages that go to the hot one, seconds of idleness or of further lateness."""
+    """Depends on the kind: share of the calls that fail or are lost, factor by which calls are slower, length
+    of a pause in seconds, share of the limit that remains, extra traffic to the hot destination as a share of
+    all messages, seconds after which an idle connection is dropped, or seconds of further list delay."""
     period_s: Positive = 3.0
-    """Pauses: from one to the next."""
+    """For `pauses`: time from the start of one to the start of the next."""
     message_class: str | None = None
-    """The class that fails."""
+    """For `class_fails`: the class whose calls fail."""
     runs: Share = 0.5
-    """Part of the calls that fail, vanish or are cut off which have had their effect all the same."""
+    """Share of the failed, unanswered or reset calls that were executed all the same."""
     tells_wait: Share = 0.7
-    """Shut: part of the refusals that tell when it opens."""
+    """For `shut`: share of the refusals whose Retry-After gives the time until the end."""
     disk_lost: bool = False
-    """Killed: the node comes back with an empty folder, and clients hand in again what it held."""
+    """For `killed`: the state directory is lost; clients submit the messages pending there again."""
 
 
 DEFAULT_STRENGTH = {
@@ -271,7 +273,7 @@
     "hot": 0.2,
     "list_stale": 4.0,
 }
-"""Where a trouble's strength is not told."""
+"""Strength of a trouble whose scenario gives none."""
 SHARE_TROUBLES = {
     "fails_fast",
     "resets",
@@ -281,21 +283,23 @@
     "class_fails",
     "hot",
 }
-"""Troubles whose strength is a part of something."""
+"""Troubles whose strength is a share, from 0 to 1."""
 NODE_TROUBLES = {"killed", "stopped", "stalled"}
+"""Troubles of nodes."""
 LIST_TROUBLES = {"list_stale", "list_down"}
+"""Troubles of the endpoint list."""
 OUTAGE_TROUBLES = {"shut", "silent", "connect_refused", "host_gone", "fails_fast"}
-"""Troubles after which a destination is cold."""
+"""Troubles after which a destination is cold, if they affect all of it."""
 
 
 class About(Section):
-    """What the scenario is."""
+    """Name and length of the scenario."""
 
     name: str = Field(min_length=1, pattern=r"^[a-z0-9][a-z0-9-]*$")
     shows: str = ""
-    """What is seen in it, in a sentence."""
+    """What it shows, in one sentence."""
     length_s: Positive
-    """How long messages are handed in; what is owed then is still brought to its end."""
+    """Time during which messages are submitted; messages pending at its end still get their final result."""
     seed: int = Field(1, ge=0)
 
 
@@ -321,7 +325,7 @@
         names = [item.name for item in value]
         for name in names:
             if names.count(name) > 1:
-                raise ValueError(f"the name {name!r} stands twice")
+                raise ValueError(f"expected unique names, got {name!r} twice")
         return value
 
     @model_validator(mode="after")
@@ -334,39 +338,40 @@
             latest = trouble.at_s[1] if isinstance(trouble.at_s, list) else trouble.at_s
             if latest >= self.scenario.length_s:
                 errors.append(
-                    f"{where}.at_s: it begins at {latest:g} s, after the end at {self.scenario.length_s:g} s"
+                    f"{where}.at_s: expected a start before the end at {self.scenario.length_s:g} s, "
+                    f"got {latest:g} s"
                 )
             if trouble.of_kind is not None and trouble.of_kind not in kinds:
-                errors.append(f"{where}.of_kind: there is no kind {trouble.of_kind!r}")
+                errors.append(f"{where}.of_kind: unknown kind {trouble.of_kind!r}")
             if (trouble.kind == "class_fails") != (trouble.message_class is not None):
-                errors.append(f"{where}.message_class: goes with class_fails, and only with it")
+                errors.append(f"{where}.message_class: required for class_fails and only allowed there")
             elif trouble.message_class and trouble.message_class not in {c.name for c in self.classes}:
-                errors.append(f"{where}.message_class: nobody sends a class {trouble.message_class!r}")
+                errors.append(f"{where}.message_class: unknown class {trouble.message_class!r}")
             if trouble.destinations and trouble.share is not None:
-                errors.append(f"{where}: share and destinations exclude each other")
+                errors.append(f"{where}: expected share or destinations, got both")
             if any(number > total for number in trouble.destinations):
-                errors.append(f"{where}.destinations: there are {total}")
+                errors.append(f"{where}.destinations: expected numbers up to {total}")
             if trouble.destinations and trouble.kind in NODE_TROUBLES | LIST_TROUBLES:
-                errors.append(f"{where}.destinations: {trouble.kind} strikes no destination")
+                errors.append(f"{where}.destinations: not allowed for {trouble.kind}")
             strength = trouble.strength[1] if isinstance(trouble.strength, list) else trouble.strength
             if strength is not None and trouble.kind in SHARE_TROUBLES and strength > 1.0:
                 errors.append(
-                    f"{where}.strength: for {trouble.kind} a part from 0 to 1 is due, not {strength:g}"
+                    f"{where}.strength: expected a share from 0 to 1 for {trouble.kind}, got {strength:g}"
                 )
             if strength is not None and trouble.kind not in DEFAULT_STRENGTH:
-                errors.append(f"{where}.strength: {trouble.kind} has none")
+                errors.append(f"{where}.strength: not allowed for {trouble.kind}")
         if errors:
             raise ValueError("; ".join(errors))
         return self
 
 
 def read(path: Path) -> Scenario:
-    """The scenario in a file; raises `DocumentError` with all that is wrong with it."""
+    """Read a scenario file; raises `DocumentError` with all problems."""
     return document.read(path, Scenario)
 
 
 def with_changes(scenario: Scenario, changes: dict[str, object], path: Path) -> Scenario:
-    """The scenario with some keys set anew (`traffic.rate`, `kinds.0.count`); raises `DocumentError`."""
+    """The scenario with some keys changed (`traffic.rate`, `kinds.0.count`); raises `DocumentError`."""
     raw = scenario.model_dump()
     problems = []
     for key, value in changes.items():
@@ -380,17 +385,17 @@
             else:
                 container[last] = value  # type: ignore[index]
         except (KeyError, IndexError, ValueError, TypeError):
-            problems.append(document.Problem(key, "no such key to change"))
+            problems.append(document.Problem(key, "no such key"))
     if problems:
         raise document.DocumentError(path, problems)
     return document.check(path, raw, Scenario)
 
 
 SCENARIO_DIRECTORY = Path(__file__).parent / "scenarios"
-"""The scenarios that come with the program."""
+"""Directory of the shipped scenarios."""
 
 
 def scenario_path(name: str) -> Path:
-    """A scenario file by its path, or a shipped one by its name."""
+    """The path of a scenario, given by its path or by the name of a shipped one."""
     shipped = SCENARIO_DIRECTORY / f"{name}.toml"
     return shipped if "/" not in name and not Path(name).exists() and shipped.exists() else Path(name)
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: bad ones are refused with all that is wrong, and one change redraws nothing else."""
+"""Scenario files: all errors are reported with their key paths, and each random draw has its own stream."""
 
 from pathlib import Path
 
@@ -14,21 +14,29 @@
     [
         ("", ("rate = 20.0", "rate = -1.0"), "traffic.rate"),
         ("", ("rate = 20.0", "rate = 20.0\nwaves = 3"), "traffic.waves: no such key"),
-        ("", ('name = "order"', 'name = "notice"'), "the name 'notice' stands twice"),
-        ("", ("window_s = 6.0", ""), "a keyed class needs window_s"),
-        ("", ("deadline_s = 8.0", "deadline_s = 0.5"), "deadline_s (0.5) is below aim_s (1)"),
-        ("", ("capacity = 2.0", "capacity = [3.0, 2.0]"), "the low end comes first"),
-        (trouble_toml("silent", at_s=12.5), None, "begins at 12.5 s, after the end at 12 s"),
-        (trouble_toml("class_fails", at_s=1.0, message_class="memo"), None, "nobody sends a class 'memo'"),
-        (trouble_toml("slow", at_s=1.0, of_kind="bank"), None, "there is no kind 'bank'"),
-        (trouble_toml("slow", at_s=1.0, destinations=[4]), None, "troubles[0].destinations: there are 3"),
-        (trouble_toml("killed", at_s=1.0, destinations=[1]), None, "killed strikes no destination"),
+        ("", ('name = "order"', 'name = "notice"'), "expected unique names, got 'notice' twice"),
+        ("", ("window_s = 6.0", ""), "a keyed class requires window_s above 0"),
+        ("", ("deadline_s = 8.0", "deadline_s = 0.5"), "deadline_s (0.5) must not be below aim_s (1)"),
+        ("", ("capacity = 2.0", "capacity = [3.0, 2.0]"), "expected [low, high], got [3.0, 2.0]"),
+        (
+            trouble_toml("silent", at_s=12.5),
+            None,
+            "troubles[0].at_s: expected a start before the end at 12 s, got 12.5 s",
+        ),
+        (trouble_toml("class_fails", at_s=1.0, message_class="memo"), None, "unknown class 'memo'"),
+        (trouble_toml("slow", at_s=1.0, of_kind="bank"), None, "unknown kind 'bank'"),
+        (
+            trouble_toml("slow", at_s=1.0, destinations=[4]),
+            None,
+            "troubles[0].destinations: expected numbers up to 3",
+        ),
+        (trouble_toml("killed", at_s=1.0, destinations=[1]), None, "destinations: not allowed for killed"),
         (
             trouble_toml("resets", at_s=1.0, strength=1.5),
             None,
-            "for resets a part from 0 to 1 is due, not 1.5",
+            "expected a share from 0 to 1 for resets, got 1.5",
         ),
-        (trouble_toml("shut", at_s=1.0, strength=0.5), None, "shut has none"),
+        (trouble_toml("shut", at_s=1.0, strength=0.5), None, "strength: not allowed for shut"),
         (trouble_toml("explodes", at_s=1.0), None, "troubles[0].kind"),
     ],
 )
