--- a/irisstack/lab/baselines.py
+++ b/irisstack/lab/baselines.py
@@ -15,435 +15,454 @@
 from irisstack.interface import Effect, Outcome
 from irisstack.lab.policy import Oracle, Policy, PolicyFactory, decision_module
 
-NOT_RUN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
+NOT_RUN_OUTCOMES = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 NEVER = float("inf")
-LEAST_TIME = 0.1
+MIN_TIME_LEFT = 0.1
 """Seconds that a message must have left to be worth a call."""
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingMessage:
     """A message that is owed its end."""
 
     id: int
-    kind: api.MessageClass
+    message_class: api.MessageClass
     destination: int
     due: float
     key: int | None
     attempts: int
-    maybe_ran: float | None
-    out: "Group | None" = None
-    over: bool = False
+    may_have_run_at: float | None
+    open_call: "OpenCall | None" = None
+    finished: bool = False
 
     @property
-    def latest(self) -> float:
+    def latest_call(self) -> float:
         """Until when a call is worth while and, like a refusal, cannot double its effect."""
-        if self.maybe_ran is None or self.kind.effect is Effect.SAFE:
-            return self.due - LEAST_TIME
-        if self.kind.effect is Effect.UNSAFE or self.kind.dedup_scope is not api.DedupScope.DESTINATION:
+        if self.may_have_run_at is None or self.message_class.effect is Effect.SAFE:
+            return self.due - MIN_TIME_LEFT
+        if (
+            self.message_class.effect is Effect.UNSAFE
+            or self.message_class.dedup_scope is not api.DedupScope.DESTINATION
+        ):
             return -NEVER
-        return min(self.due, self.maybe_ran + self.kind.dedup_window) - LEAST_TIME
+        return min(self.due, self.may_have_run_at + self.message_class.dedup_window) - MIN_TIME_LEFT
 
     def may_be_refused(self, now: float) -> bool:
         """Whether handing it in again is harmless."""
-        if self.maybe_ran is None or self.kind.effect is Effect.SAFE:
+        if self.may_have_run_at is None or self.message_class.effect is Effect.SAFE:
             return True
         return (
-            self.kind.effect is Effect.KEYED
-            and self.kind.dedup_scope is api.DedupScope.DESTINATION
-            and now < self.maybe_ran + self.kind.dedup_window
+            self.message_class.effect is Effect.KEYED
+            and self.message_class.dedup_scope is api.DedupScope.DESTINATION
+            and now < self.may_have_run_at + self.message_class.dedup_window
         )
 
 
 @dataclass(slots=True, eq=False)
-class Group:
+class OpenCall:
     """The messages of one call."""
 
-    sent: float
-    left: int
+    sent_at: float
+    open_messages: int
 
 
 @dataclass(slots=True, eq=False)
-class Partner:
+class DestinationState:
     """One destination as a policy knows it."""
 
     number: int
     kind: api.DestinationKind | None = None
     rate: float = 0.0
     endpoints: dict[api.Address, int] = field(default_factory=dict)  # calls out
-    line: deque[Held] = field(default_factory=deque)
+    queue: deque[PendingMessage] = field(default_factory=deque)
     blocked_until: float = 0.0
-    calls: int = 0
+    open_calls: int = 0
 
 
-class Courier:
+class Baseline:
     """What all of them share; a subclass says when to call and when to try again."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
+    def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         self.settings = settings
         self.random = Random(seed)
-        self.truth = truth
+        self.oracle = oracle
         self.now = 0.0
-        self._out: list[api.Action] = []
-        self._held: dict[int, Held] = {}
-        self._partners: dict[int, Partner] = {}
-        self._where: dict[api.Address, int] = {}
-        self._keys: dict[int, deque[Held]] = {}
-        self._later: list[tuple[float, int, Held]] = []
-        self._dues: list[tuple[float, int, Held]] = []
-        self._waiting: dict[int, None] = {}
-        self._slots = settings.max_calls
-        self._sequence = self._timers = 0
-        self._wake = NEVER
-        self._asked = False
+        self._actions: list[api.Action] = []
+        self._pending_by_id: dict[int, PendingMessage] = {}
+        self._destinations: dict[int, DestinationState] = {}
+        self._destination_by_address: dict[api.Address, int] = {}
+        self._key_queues: dict[int, deque[PendingMessage]] = {}
+        self._retries: list[tuple[float, int, PendingMessage]] = []
+        self._deadlines: list[tuple[float, int, PendingMessage]] = []
+        self._queued: dict[int, None] = {}
+        self._free_calls = settings.max_calls
+        self._sequence = self._timer_token = 0
+        self._timer_at = NEVER
+        self._subscribed = False
 
     # ---- for subclasses ----
 
-    def gate(self, partner: Partner) -> float:
+    def next_call_at(self, target: DestinationState) -> float:
         """The earliest time of the next call there."""
         return 0.0
 
-    def sent(self, partner: Partner) -> None:
+    def on_call_sent(self, target: DestinationState) -> None:
         """A call is leaving."""
 
-    def ended(self, partner: Partner, outcome: Outcome) -> None:
+    def on_call_ended(self, target: DestinationState, outcome: Outcome) -> None:
         """A call has ended."""
 
-    def again(self, held: Held, outcome: Outcome) -> float | None:
+    def retry_delay(self, pending: PendingMessage, outcome: Outcome) -> float | None:
         """Seconds until the next attempt, or `None` to give the message up."""
         return None
 
-    def choose(self, partner: Partner) -> api.Address:
+    def choose_endpoint(self, target: DestinationState) -> api.Address:
         """The endpoint of the next call: the one with the fewest calls out."""
-        return min(partner.endpoints, key=lambda address: (partner.endpoints[address], self.random.random()))
+        return min(target.endpoints, key=lambda address: (target.endpoints[address], self.random.random()))
 
-    def pick(self, partner: Partner) -> Held:
+    def take_next(self, target: DestinationState) -> PendingMessage:
         """Take the next message out of the line: the one that came first."""
-        return partner.line.popleft()
+        return target.queue.popleft()
 
-    def refuses_at_once(self, partner: Partner) -> float:
+    def rejection_wait(self, target: DestinationState) -> float:
         """Seconds after which to come again if messages are turned away now, else 0.0."""
         return 0.0
 
     # ---- the interface ----
 
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
-        self.now, self._out = now, []
+        self.now, self._actions = now, []
         for event in events:
             match event:
                 case api.AttemptEnded():
                     self._attempt_ended(event)
                 case api.MessageReceived():
-                    self._received(event)
+                    self._message_received(event)
                 case api.EndpointsUpdated():
-                    self._updated(event)
+                    self._endpoints_updated(event)
                 case api.MessageWithdrawn():
-                    if event.message in self._held:
-                        self._close(self._held[event.message])
-                case api.TimerFired() if event.token == self._timers:
-                    self._wake = NEVER
-        if self.settings.discovery_on_request and not self._asked:
-            self._asked = True
-            self._out.append(api.Subscribe(True))
-        wake = self._expire()
-        while self._later and self._later[0][0] <= now:
-            self._queue(heappop(self._later)[2])
-        if self._later:
-            wake = min(wake, self._later[0][0])
-        wake = min(wake, self._dispatch())
-        if wake < self._wake:
-            self._wake = wake
-            self._timers += 1
-            self._out.append(api.SetTimer(max(0.001, min(wake - now, 3600.0)), self._timers))
-        return self._out
+                    if event.message in self._pending_by_id:
+                        self._finish(self._pending_by_id[event.message])
+                case api.TimerFired() if event.token == self._timer_token:
+                    self._timer_at = NEVER
+        if self.settings.discovery_on_request and not self._subscribed:
+            self._subscribed = True
+            self._actions.append(api.Subscribe(True))
+        wake_at = self._expire()
+        while self._retries and self._retries[0][0] <= now:
+            self._enqueue(heappop(self._retries)[2])
+        if self._retries:
+            wake_at = min(wake_at, self._retries[0][0])
+        wake_at = min(wake_at, self._dispatch())
+        if wake_at < self._timer_at:
+            self._timer_at = wake_at
+            self._timer_token += 1
+            self._actions.append(api.SetTimer(max(0.001, min(wake_at - now, 3600.0)), self._timer_token))
+        return self._actions
 
     # ---- events ----
 
-    def _received(self, event: api.MessageReceived) -> None:
-        kind = self.settings.classes[event.message_class]
-        held = Held(
+    def _message_received(self, event: api.MessageReceived) -> None:
+        class_info = self.settings.classes[event.message_class]
+        pending = PendingMessage(
             event.message,
-            kind,
+            class_info,
             event.destination,
             event.due,
-            event.key if kind.ordered else None,
+            event.key if class_info.ordered else None,
             event.attempts,
             event.may_have_run_at,
         )
-        self._held[held.id] = held
-        partner = self._partner(held.destination)
-        wait = self.refuses_at_once(partner)
-        if held.key is not None:
-            self._keys.setdefault(held.key, deque()).append(held)
-        if len(self._held) > self.settings.max_pending or wait or not self._fits(held, self.now):
-            self._give_up(held, wait)
+        self._pending_by_id[pending.id] = pending
+        target = self._destination(pending.destination)
+        wait = self.rejection_wait(target)
+        if pending.key is not None:
+            self._key_queues.setdefault(pending.key, deque()).append(pending)
+        if (
+            len(self._pending_by_id) > self.settings.max_pending
+            or wait
+            or not self._may_call(pending, self.now)
+        ):
+            self._give_up(pending, wait)
             return
         self._sequence += 1
-        heappush(self._dues, (held.latest, self._sequence, held))
-        if held.key is None or self._keys[held.key][0] is held:
-            self._queue(held)
+        heappush(self._deadlines, (pending.latest_call, self._sequence, pending))
+        if pending.key is None or self._key_queues[pending.key][0] is pending:
+            self._enqueue(pending)
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
-        held = self._held.get(event.message)
-        if held is None or held.out is None:
+        pending = self._pending_by_id.get(event.message)
+        if pending is None or pending.open_call is None:
             return
-        group, held.out = held.out, None
-        partner, outcome = self._partner(held.destination), event.outcome
-        if outcome not in NOT_RUN and held.maybe_ran is None:
-            held.maybe_ran = group.sent
-        group.left -= 1
-        if not group.left:
-            self._slots += 1
-            partner.calls -= 1
-            if event.endpoint in partner.endpoints:
-                partner.endpoints[event.endpoint] -= 1
-            self.ended(partner, outcome)
+        call, pending.open_call = pending.open_call, None
+        target, outcome = self._destination(pending.destination), event.outcome
+        if outcome not in NOT_RUN_OUTCOMES and pending.may_have_run_at is None:
+            pending.may_have_run_at = call.sent_at
+        call.open_messages -= 1
+        if not call.open_messages:
+            self._free_calls += 1
+            target.open_calls -= 1
+            if event.endpoint in target.endpoints:
+                target.endpoints[event.endpoint] -= 1
+            self.on_call_ended(target, outcome)
         if event.retry_after:
-            partner.blocked_until = max(partner.blocked_until, self.now + event.retry_after)
-        if held.over:
-            self._forget(held)
+            target.blocked_until = max(target.blocked_until, self.now + event.retry_after)
+        if pending.finished:
+            self._forget(pending)
         elif event.final:
-            self._close(held)
+            self._finish(pending)
         else:
-            pause = self.again(held, outcome) if held.attempts < self.settings.max_attempts else None
-            if pause is None or not self._fits(held, self.now + pause):
-                self._give_up(held, pause or 0.0)
+            delay = (
+                self.retry_delay(pending, outcome) if pending.attempts < self.settings.max_attempts else None
+            )
+            if delay is None or not self._may_call(pending, self.now + delay):
+                self._give_up(pending, delay or 0.0)
             else:
                 self._sequence += 1
-                heappush(self._later, (self.now + pause, self._sequence, held))
-                heappush(self._dues, (held.latest, self._sequence, held))
+                heappush(self._retries, (self.now + delay, self._sequence, pending))
+                heappush(self._deadlines, (pending.latest_call, self._sequence, pending))
 
-    def _updated(self, event: api.EndpointsUpdated) -> None:
+    def _endpoints_updated(self, event: api.EndpointsUpdated) -> None:
         if event.scope is api.UpdateScope.FAILED:
-            self._asked = False
+            self._subscribed = False
             return
         if event.scope is not api.UpdateScope.DELTA:
-            for address in self._where.keys() - {endpoint.address for endpoint in event.endpoints}:
-                self._remove(address)
+            for address in self._destination_by_address.keys() - {
+                endpoint.address for endpoint in event.endpoints
+            }:
+                self._remove_endpoint(address)
         for endpoint in event.endpoints:
             if endpoint.state is not api.EndpointState.READY:
-                self._remove(endpoint.address)
+                self._remove_endpoint(endpoint.address)
                 continue
-            partner = self._partner(endpoint.destination)
-            partner.kind, partner.rate = self.settings.kinds[endpoint.kind], endpoint.rate
-            partner.endpoints.setdefault(endpoint.address, 0)
-            self._where[endpoint.address] = endpoint.destination
+            target = self._destination(endpoint.destination)
+            target.kind, target.rate = self.settings.kinds[endpoint.kind], endpoint.rate
+            target.endpoints.setdefault(endpoint.address, 0)
+            self._destination_by_address[endpoint.address] = endpoint.destination
 
-    def _remove(self, address: api.Address) -> None:
-        if address in self._where:
-            del self._partners[self._where.pop(address)].endpoints[address]
+    def _remove_endpoint(self, address: api.Address) -> None:
+        if address in self._destination_by_address:
+            del self._destinations[self._destination_by_address.pop(address)].endpoints[address]
 
-    def _partner(self, number: int) -> Partner:
-        found = self._partners.get(number)
+    def _destination(self, number: int) -> DestinationState:
+        found = self._destinations.get(number)
         if found is None:
-            found = self._partners[number] = Partner(number)
+            found = self._destinations[number] = DestinationState(number)
         return found
 
     # ---- messages ----
 
-    def _queue(self, held: Held) -> None:
-        if not held.over and held.out is None:
-            partner = self._partner(held.destination)
-            partner.line.append(held)
-            self._waiting[partner.number] = None
+    def _enqueue(self, pending: PendingMessage) -> None:
+        if not pending.finished and pending.open_call is None:
+            target = self._destination(pending.destination)
+            target.queue.append(pending)
+            self._queued[target.number] = None
 
-    def _fits(self, held: Held, at: float) -> bool:
-        return at <= held.latest
+    def _may_call(self, pending: PendingMessage, at: float) -> bool:
+        return at <= pending.latest_call
 
     def _expire(self) -> float:
-        while self._dues and self._dues[0][0] <= self.now:
-            held = heappop(self._dues)[2]
-            if not held.over and held.out is None:
-                self._give_up(held, 0.0)
-        return self._dues[0][0] if self._dues else NEVER
-
-    def _give_up(self, held: Held, wait: float) -> None:
-        if held.may_be_refused(self.now):
-            advice = min(wait, self.settings.max_retry_after)
-            tells = self.settings.advises_retry_after and advice > 0.0
-            self._out.append(api.Refuse(held.id, advice if tells else None))
+        while self._deadlines and self._deadlines[0][0] <= self.now:
+            pending = heappop(self._deadlines)[2]
+            if not pending.finished and pending.open_call is None:
+                self._give_up(pending, 0.0)
+        return self._deadlines[0][0] if self._deadlines else NEVER
+
+    def _give_up(self, pending: PendingMessage, wait: float) -> None:
+        if pending.may_be_refused(self.now):
+            retry_after = min(wait, self.settings.max_retry_after)
+            sends_retry_after = self.settings.advises_retry_after and retry_after > 0.0
+            self._actions.append(api.Refuse(pending.id, retry_after if sends_retry_after else None))
         else:
-            self._out.append(api.Fail(held.id))
-        self._close(held)
-
-    def _close(self, held: Held) -> None:
-        held.over = True
-        if held.out is None:
-            self._forget(held)
-
-    def _forget(self, held: Held) -> None:
-        del self._held[held.id]
-        if held.key is not None:
-            line = self._keys[held.key]
-            was_first = line[0] is held
-            line.remove(held)
-            if not line:
-                del self._keys[held.key]
+            self._actions.append(api.Fail(pending.id))
+        self._finish(pending)
+
+    def _finish(self, pending: PendingMessage) -> None:
+        pending.finished = True
+        if pending.open_call is None:
+            self._forget(pending)
+
+    def _forget(self, pending: PendingMessage) -> None:
+        del self._pending_by_id[pending.id]
+        if pending.key is not None:
+            key_queue = self._key_queues[pending.key]
+            was_first = key_queue[0] is pending
+            key_queue.remove(pending)
+            if not key_queue:
+                del self._key_queues[pending.key]
             elif was_first:
-                self._queue(line[0])
+                self._enqueue(key_queue[0])
 
     # ---- sending ----
 
     def _dispatch(self) -> float:
-        wake = NEVER
-        for number in list(self._waiting):
-            partner = self._partners[number]
-            while self._slots > 0:
-                while partner.line and not self._ready(partner.line[0]):
-                    partner.line.popleft()
-                if not partner.line:
-                    del self._waiting[number]
+        wake_at = NEVER
+        for number in list(self._queued):
+            target = self._destinations[number]
+            while self._free_calls > 0:
+                while target.queue and not self._can_send(target.queue[0]):
+                    target.queue.popleft()
+                if not target.queue:
+                    del self._queued[number]
                     break
-                gate = max(partner.blocked_until, self.gate(partner))
-                if gate > self.now or not partner.endpoints:
-                    wake = min(wake, gate if partner.endpoints else NEVER)
+                call_at = max(target.blocked_until, self.next_call_at(target))
+                if call_at > self.now or not target.endpoints:
+                    wake_at = min(wake_at, call_at if target.endpoints else NEVER)
                     break
-                self._send(partner)
-        return wake
-
-    def _ready(self, held: Held) -> bool:
-        return not held.over and held.out is None and self._fits(held, self.now)
-
-    def _send(self, partner: Partner) -> None:
-        address = self.choose(partner)
-        most = partner.kind.max_batch if partner.kind else 1
-        group = Group(self.now, 0)
-        while partner.line and group.left < most:
-            held = self.pick(partner)
-            if not self._ready(held):
+                self._send_call(target)
+        return wake_at
+
+    def _can_send(self, pending: PendingMessage) -> bool:
+        return not pending.finished and pending.open_call is None and self._may_call(pending, self.now)
+
+    def _send_call(self, target: DestinationState) -> None:
+        address = self.choose_endpoint(target)
+        max_messages = target.kind.max_batch if target.kind else 1
+        call = OpenCall(self.now, 0)
+        while target.queue and call.open_messages < max_messages:
+            pending = self.take_next(target)
+            if not self._can_send(pending):
                 continue
-            held.out = group
-            held.attempts += 1
-            group.left += 1
-            self._out.append(api.Send(held.id, address, None))
-        if group.left:
-            self._slots -= 1
-            partner.calls += 1
-            partner.endpoints[address] += 1
-            self.sent(partner)
-
-
-class OneTry(Courier):
+            pending.open_call = call
+            pending.attempts += 1
+            call.open_messages += 1
+            self._actions.append(api.Send(pending.id, address, None))
+        if call.open_messages:
+            self._free_calls -= 1
+            target.open_calls += 1
+            target.endpoints[address] += 1
+            self.on_call_sent(target)
+
+
+class SingleAttempt(Baseline):
     """Each message is tried once."""
 
 
-BACKOFF_FIRST, BACKOFF_MOST = 0.25, 8.0
+BACKOFF_BASE, BACKOFF_MAX = 0.25, 8.0
 
 
-class Backoff(Courier):
+class Backoff(Baseline):
     """Tried again after exponential backoff with full jitter."""
 
-    def again(self, held: Held, outcome: Outcome) -> float | None:
-        most = min(BACKOFF_MOST, BACKOFF_FIRST * 2.0**held.attempts)
-        return self.random.uniform(0.0, most)
+    def retry_delay(self, pending: PendingMessage, outcome: Outcome) -> float | None:
+        max_delay = min(BACKOFF_MAX, BACKOFF_BASE * 2.0**pending.attempts)
+        return self.random.uniform(0.0, max_delay)
 
 
-BREAKER_FAILURES, BREAKER_OPEN = 5, 5.0
+BREAKER_FAILURES, BREAKER_OPEN_DURATION = 5, 5.0
 
 
 class HalfOpenBreaker(Backoff):
     """The textbook's breaker: five failures in a row open it for 5 s, then one trial call decides."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
-        super().__init__(settings, seed, truth)
+    def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
+        super().__init__(settings, seed, oracle)
         self._failures: dict[int, int] = {}
         self._open_until: dict[int, float] = {}
 
-    def gate(self, partner: Partner) -> float:
-        until = self._open_until.get(partner.number)
-        if until is None:
+    def next_call_at(self, target: DestinationState) -> float:
+        open_until = self._open_until.get(target.number)
+        if open_until is None:
             return 0.0
-        return NEVER if self.now >= until and partner.calls else until  # half open: one call at a time
+        return (
+            NEVER if self.now >= open_until and target.open_calls else open_until
+        )  # half open: one call at a time
 
-    def refuses_at_once(self, partner: Partner) -> float:
-        return max(0.0, self._open_until.get(partner.number, 0.0) - self.now)
+    def rejection_wait(self, target: DestinationState) -> float:
+        return max(0.0, self._open_until.get(target.number, 0.0) - self.now)
 
-    def ended(self, partner: Partner, outcome: Outcome) -> None:
-        number = partner.number
+    def on_call_ended(self, target: DestinationState, outcome: Outcome) -> None:
+        number = target.number
         if outcome is Outcome.OK:
             self._failures[number] = 0
             self._open_until.pop(number, None)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
             self._failures[number] = self._failures.get(number, 0) + 1
             if self._failures[number] >= BREAKER_FAILURES:
-                self._open_until[number] = self.now + BREAKER_OPEN
+                self._open_until[number] = self.now + BREAKER_OPEN_DURATION
 
 
 class TokenBucket(Backoff):
     """Calls spaced by this sender's even part of the rate that the list tells."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
-        super().__init__(settings, seed, truth)
+    def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
+        super().__init__(settings, seed, oracle)
         self._tokens: dict[int, tuple[float, float]] = {}
 
-    def _rate(self, partner: Partner) -> float:
-        return max(partner.rate / self.settings.senders, 0.1)
+    def _rate(self, target: DestinationState) -> float:
+        return max(target.rate / self.settings.senders, 0.1)
 
-    def gate(self, partner: Partner) -> float:
-        tokens, at = self._tokens.get(partner.number, (1.0, self.now))
-        tokens = min(1.0, tokens + (self.now - at) * self._rate(partner))
-        return 0.0 if tokens >= 1.0 - 1e-9 else self.now + (1.0 - tokens) / self._rate(partner)
+    def next_call_at(self, target: DestinationState) -> float:
+        tokens, at = self._tokens.get(target.number, (1.0, self.now))
+        tokens = min(1.0, tokens + (self.now - at) * self._rate(target))
+        return 0.0 if tokens >= 1.0 - 1e-9 else self.now + (1.0 - tokens) / self._rate(target)
 
-    def sent(self, partner: Partner) -> None:
-        self._tokens[partner.number] = 0.0, self.now
+    def on_call_sent(self, target: DestinationState) -> None:
+        self._tokens[target.number] = 0.0, self.now
 
 
 class Aimd(Backoff):
     """Calls out at once to each destination: one more for each round that succeeds, half for each failure."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
-        super().__init__(settings, seed, truth)
+    def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
+        super().__init__(settings, seed, oracle)
         self._window: dict[int, float] = {}
 
-    def gate(self, partner: Partner) -> float:
-        return 0.0 if partner.calls < self._window.get(partner.number, 4.0) else NEVER
+    def next_call_at(self, target: DestinationState) -> float:
+        return 0.0 if target.open_calls < self._window.get(target.number, 4.0) else NEVER
 
-    def ended(self, partner: Partner, outcome: Outcome) -> None:
-        window = self._window.get(partner.number, 4.0)
+    def on_call_ended(self, target: DestinationState, outcome: Outcome) -> None:
+        window = self._window.get(target.number, 4.0)
         if outcome is Outcome.OK:
             window += 1.0 / window
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
             window = max(1.0, window / 2.0)
-        self._window[partner.number] = window
+        self._window[target.number] = window
 
 
-class Seer(Backoff):
+class OraclePolicy(Backoff):
     """An upper bound: it sees what room a destination has just now, and takes it for the message worth most.
 
     It does not see the future, nor what a call will meet on its way.
     """
 
-    LOOK = 0.02
+    POLL_INTERVAL = 0.02
 
-    def gate(self, partner: Partner) -> float:
-        return 0.0 if self.truth.find_endpoint(self.now, partner.number) is not None else self.now + self.LOOK
+    def next_call_at(self, target: DestinationState) -> float:
+        return (
+            0.0
+            if self.oracle.find_endpoint(self.now, target.number) is not None
+            else self.now + self.POLL_INTERVAL
+        )
 
-    def choose(self, partner: Partner) -> api.Address:
-        address = self.truth.reserve_endpoint(self.now, partner.number)
-        return address if address in partner.endpoints else super().choose(partner)
+    def choose_endpoint(self, target: DestinationState) -> api.Address:
+        address = self.oracle.reserve_endpoint(self.now, target.number)
+        return address if address in target.endpoints else super().choose_endpoint(target)
 
-    def pick(self, partner: Partner) -> Held:
-        def rank(held: Held) -> tuple[bool, float]:
+    def take_next(self, target: DestinationState) -> PendingMessage:
+        def rank(pending: PendingMessage) -> tuple[bool, float]:
             late = (
-                self.now + held.kind.latency_target * 0.1
-                > held.due - held.kind.deadline + held.kind.latency_target
+                self.now + pending.message_class.latency_target * 0.1
+                > pending.due - pending.message_class.deadline + pending.message_class.latency_target
             )
             return (
                 late,
-                -held.kind.worth if late else held.due - held.kind.deadline + held.kind.latency_target,
+                -pending.message_class.worth
+                if late
+                else pending.due - pending.message_class.deadline + pending.message_class.latency_target,
             )
 
-        held = min(partner.line, key=rank)
-        partner.line.remove(held)
-        return held
+        pending = min(target.queue, key=rank)
+        target.queue.remove(pending)
+        return pending
 
-    def again(self, held: Held, outcome: Outcome) -> float | None:
-        return self.LOOK
+    def retry_delay(self, pending: PendingMessage, outcome: Outcome) -> float | None:
+        return self.POLL_INTERVAL
 
 
-def _maker(kind: type[Courier]) -> PolicyFactory:
-    def make(settings: api.Settings, seed: int, truth: Oracle) -> Policy:
-        return kind(settings, seed, truth)
+def _factory(baseline: type[Baseline]) -> PolicyFactory:
+    def make(settings: api.Settings, seed: int, oracle: Oracle) -> Policy:
+        return baseline(settings, seed, oracle)
 
     return make
 
@@ -451,11 +470,11 @@
 MODULE_POLICY = "module"
 POLICIES: dict[str, PolicyFactory] = {
     MODULE_POLICY: decision_module,
-    "one-try": _maker(OneTry),
-    "backoff": _maker(Backoff),
-    "half-open": _maker(HalfOpenBreaker),
-    "token-bucket": _maker(TokenBucket),
-    "aimd": _maker(Aimd),
-    "seer": _maker(Seer),
+    "one-try": _factory(SingleAttempt),
+    "backoff": _factory(Backoff),
+    "half-open": _factory(HalfOpenBreaker),
+    "token-bucket": _factory(TokenBucket),
+    "aimd": _factory(Aimd),
+    "seer": _factory(OraclePolicy),
 }
 """Every policy by its name."""
--- a/irisstack/lab/policy.py
+++ b/irisstack/lab/policy.py
@@ -28,6 +28,6 @@
 """Makes a node's policy from its settings and a seed."""
 
 
-def decision_module(settings: api.Settings, seed: int, truth: Oracle) -> Policy:
+def decision_module(settings: api.Settings, seed: int, oracle: Oracle) -> Policy:
     """The decision module of this program."""
     return Sender(settings, seed)
--- a/irisstack/lab/world.py
+++ b/irisstack/lab/world.py
@@ -13,7 +13,7 @@
 from irisstack.lab.sampling import RandomStreams, sample
 from irisstack.lab.scenario import DEFAULT_STRENGTH, LIST_TROUBLES, NODE_TROUBLES, Kind, Scenario, Trouble
 
-LONGEST_WORK = 10.0
+MAX_WORK = 10.0
 """Work is drawn up to so many times its mean: one message must not outlast the day by itself."""
 
 
@@ -105,14 +105,18 @@
     def duration(self) -> float:
         return self.scenario.scenario.length_s
 
-    def replace_endpoint(self, old: EndpointSpec) -> EndpointSpec:
+    def replace_endpoint(self, replaced: EndpointSpec) -> EndpointSpec:
         """The endpoint that replaces another, under a number of its own."""
-        new = EndpointSpec(
-            self.next_endpoint_number, old.destination, old.concurrency, old.queue_limit, old.max_connections
+        replacement = EndpointSpec(
+            self.next_endpoint_number,
+            replaced.destination,
+            replaced.concurrency,
+            replaced.queue_limit,
+            replaced.max_connections,
         )
         self.next_endpoint_number += 1
-        self.endpoints[new.number] = new
-        return new
+        self.endpoints[replacement.number] = replacement
+        return replacement
 
 
 def build_world(scenario: Scenario, seed: int | None = None) -> World:
@@ -142,64 +146,68 @@
     return sum(kind.share * kind.work_s for kind in scenario.classes) / total
 
 
-def _parts(count: int, skew: float) -> np.ndarray:
-    raw = np.arange(1, count + 1, dtype=float) ** -skew
-    return np.asarray(raw / raw.sum())
+def _zipf_shares(count: int, skew: float) -> np.ndarray:
+    weights = np.arange(1, count + 1, dtype=float) ** -skew
+    return np.asarray(weights / weights.sum())
 
 
 def _destinations(scenario: Scenario, streams: RandomStreams) -> dict[int, DestinationSpec]:
     found: dict[int, DestinationSpec] = {}
-    all_traffic = sum(kind.traffic for kind in scenario.kinds)
+    total_traffic = sum(kind.traffic for kind in scenario.kinds)
     work = mean_work_seconds(scenario)
-    endpoint = 1
+    next_number = 1
     for index, kind in enumerate(scenario.kinds):
-        parts = _parts(kind.count, kind.skew) * kind.traffic / all_traffic * scenario.traffic.rate
-        for i, traffic in enumerate(parts.tolist()):
+        rates = _zipf_shares(kind.count, kind.skew) * kind.traffic / total_traffic * scenario.traffic.rate
+        for i, rate in enumerate(rates.tolist()):
             number = len(found) + 1
             stream = streams.stream("destination", kind.name, i)
-            pace = sample(kind.pace, stream)
-            capacity = max(kind.least_capacity, traffic * sample(kind.capacity, stream))
-            limit = 0.0
+            duration_factor = sample(kind.pace, stream)
+            capacity = max(kind.least_capacity, rate * sample(kind.capacity, stream))
+            rate_limit = 0.0
             if kind.limit is not None:
-                limit = max(kind.limit.least, traffic * sample(kind.limit.of_traffic, stream))
+                rate_limit = max(kind.limit.least, rate * sample(kind.limit.of_traffic, stream))
             low, high = kind.endpoints if isinstance(kind.endpoints, list) else (kind.endpoints,) * 2
-            many = int(stream.integers(low, high + 1))
+            endpoint_count = int(stream.integers(low, high + 1))
             # Work goes in whole servers; the pace takes up what rounding leaves over.
-            at_once = max(1, round(capacity * work * pace / many))
-            pace = at_once * many / (capacity * work)
+            concurrency = max(1, round(capacity * work * duration_factor / endpoint_count))
+            duration_factor = concurrency * endpoint_count / (capacity * work)
             specs = tuple(
                 EndpointSpec(
-                    endpoint + j,
+                    next_number + j,
                     number,
-                    at_once,
-                    max(1, round(kind.queue * at_once)),
-                    kind.connections * at_once,
+                    concurrency,
+                    max(1, round(kind.queue * concurrency)),
+                    kind.connections * concurrency,
                 )
-                for j in range(many)
+                for j in range(endpoint_count)
+            )
+            next_number += endpoint_count
+            found[number] = DestinationSpec(
+                number, index, kind, rate, duration_factor, capacity, rate_limit, specs
             )
-            endpoint += many
-            found[number] = DestinationSpec(number, index, kind, traffic, pace, capacity, limit, specs)
     return found
 
 
 def _senders(scenario: Scenario, streams: RandomStreams) -> tuple[SenderSpec, ...]:
-    told = scenario.senders
-    parts = _parts(told.count, told.skew)
+    config = scenario.senders
+    shares = _zipf_shares(config.count, config.skew)
     stream = streams.stream("senders")
-    slots, room = sample(told.slots, stream), sample(told.room_s, stream)
-    busy = scenario.traffic.rate * (mean_work_seconds(scenario) + 2.0 * _middle(scenario.network.one_way_s))
+    calls_factor, pending_seconds = sample(config.slots, stream), sample(config.room_s, stream)
+    busy_calls = scenario.traffic.rate * (
+        mean_work_seconds(scenario) + 2.0 * _midpoint(scenario.network.one_way_s)
+    )
     return tuple(
         SenderSpec(
             i,
-            part,
-            max(told.least_slots, math.ceil(part * busy * slots)),
-            max(told.least_room, math.ceil(part * scenario.traffic.rate * room)),
+            share,
+            max(config.least_slots, math.ceil(share * busy_calls * calls_factor)),
+            max(config.least_room, math.ceil(share * scenario.traffic.rate * pending_seconds)),
         )
-        for i, part in enumerate(parts.tolist())
+        for i, share in enumerate(shares.tolist())
     )
 
 
-def _middle(value: float | list[float]) -> float:
+def _midpoint(value: float | list[float]) -> float:
     return sum(value) / 2.0 if isinstance(value, list) else value
 
 
@@ -211,30 +219,30 @@
     streams: RandomStreams,
 ) -> Incident:
     stream = streams.stream("trouble", index, trouble.kind)
-    begins = sample(trouble.at_s, stream)
-    ends = begins + sample(trouble.for_s, stream)
+    starts_at = sample(trouble.at_s, stream)
+    ends_at = starts_at + sample(trouble.for_s, stream)
     strength = trouble.strength if trouble.strength is not None else DEFAULT_STRENGTH.get(trouble.kind, 0.0)
     drawn = sample(strength, stream)
     if trouble.kind in LIST_TROUBLES:
-        return Incident(trouble, begins, ends, strength=drawn)
+        return Incident(trouble, starts_at, ends_at, strength=drawn)
     if trouble.kind in NODE_TROUBLES:
-        nodes = _some(range(scenario.senders.count), trouble.share, stream)
-        return Incident(trouble, begins, ends, nodes=nodes, strength=drawn)
-    struck = tuple(trouble.destinations) or _some(
+        nodes = _choose(range(scenario.senders.count), trouble.share, stream)
+        return Incident(trouble, starts_at, ends_at, nodes=nodes, strength=drawn)
+    affected = tuple(trouble.destinations) or _choose(
         [n for n, d in destinations.items() if trouble.of_kind in (None, d.kind.name)], trouble.share, stream
     )
     endpoints = tuple(
         endpoint.number
-        for number in struck
+        for number in affected
         for endpoint in destinations[number].endpoints[: trouble.endpoints]
     )
-    return Incident(trouble, begins, ends, struck, endpoints, strength=drawn)
+    return Incident(trouble, starts_at, ends_at, affected, endpoints, strength=drawn)
 
 
-def _some(of: Sequence[int], share: float | None, stream: np.random.Generator) -> tuple[int, ...]:
+def _choose(population: Sequence[int], share: float | None, stream: np.random.Generator) -> tuple[int, ...]:
     """A part of them, one at least; without a part told, one."""
-    count = 1 if share is None else max(1, round(share * len(of)))
-    return tuple(sorted(int(n) for n in stream.choice(np.asarray(of), size=count, replace=False)))
+    count = 1 if share is None else max(1, round(share * len(population)))
+    return tuple(sorted(int(n) for n in stream.choice(np.asarray(population), size=count, replace=False)))
 
 
 def _messages(
@@ -246,7 +254,7 @@
 ) -> list[Message]:
     """Everything that is handed in, in order of time."""
     traffic, length = scenario.traffic, scenario.scenario.length_s
-    times = _poisson(
+    times = _poisson_arrivals(
         traffic.rate * (1.0 - traffic.clumped),
         traffic.swing,
         traffic.wave_s,
@@ -254,41 +262,45 @@
         streams.stream("arrivals"),
     )
     numbers = np.asarray(list(destinations))
-    flow = np.asarray([d.message_rate for d in destinations.values()])
-    where = streams.stream("arrivals", "where").choice(numbers, size=times.size, p=flow / flow.sum())
+    rates = np.asarray([d.message_rate for d in destinations.values()])
+    targets = streams.stream("arrivals", "where").choice(numbers, size=times.size, p=rates / rates.sum())
 
-    clumps = streams.stream("clumps")
-    begun = _poisson(traffic.rate * traffic.clumped / traffic.clump, 0.0, 1.0, length, clumps)
-    clump_times = np.repeat(begun, traffic.clump) + clumps.uniform(0.0, 0.2, begun.size * traffic.clump)
-    clump_where = np.repeat(clumps.choice(numbers, size=begun.size, p=flow / flow.sum()), traffic.clump)
-    times, where = np.concatenate([times, clump_times]), np.concatenate([where, clump_where])
+    bursts = streams.stream("clumps")
+    starts = _poisson_arrivals(traffic.rate * traffic.clumped / traffic.clump, 0.0, 1.0, length, bursts)
+    burst_times = np.repeat(starts, traffic.clump) + bursts.uniform(0.0, 0.2, starts.size * traffic.clump)
+    burst_targets = np.repeat(bursts.choice(numbers, size=starts.size, p=rates / rates.sum()), traffic.clump)
+    times, targets = np.concatenate([times, burst_times]), np.concatenate([targets, burst_targets])
 
     for i, incident in enumerate(incidents):
         if incident.trouble.kind == "hot":
             stream = streams.stream("hot", i)
-            more = incident.starts_at + _poisson(
+            extra_times = incident.starts_at + _poisson_arrivals(
                 traffic.rate * incident.strength, 0.0, 1.0, incident.ends_at - incident.starts_at, stream
             )
-            times = np.concatenate([times, more])
-            where = np.concatenate([where, stream.choice(np.asarray(incident.destinations), size=more.size)])
+            times = np.concatenate([times, extra_times])
+            targets = np.concatenate(
+                [targets, stream.choice(np.asarray(incident.destinations), size=extra_times.size)]
+            )
 
     order = np.argsort(times, kind="stable")
-    times, where = times[order], where[order]
-    keep = times < length
-    times, where = times[keep], where[keep]
+    times, targets = times[order], targets[order]
+    in_run = times < length
+    times, targets = times[in_run], targets[in_run]
     shares = np.asarray([kind.share for kind in scenario.classes])
-    kinds = streams.stream("classes").choice(shares.size, size=times.size, p=shares / shares.sum())
-    parts = np.asarray([sender.traffic_share for sender in senders])
-    by = streams.stream("entry").choice(parts.size, size=times.size, p=parts / parts.sum())
-    work = _work(scenario, kinds, streams)
-    keys = streams.stream("order").random(times.size)
-    orders = np.asarray([kind.order_keys for kind in scenario.classes])[kinds]
-    order_keys = np.where(orders > 0, where * 1000 + (keys * orders).astype(int), -1)
+    class_indices = streams.stream("classes").choice(shares.size, size=times.size, p=shares / shares.sum())
+    sender_shares = np.asarray([sender.traffic_share for sender in senders])
+    sender_indices = streams.stream("entry").choice(
+        sender_shares.size, size=times.size, p=sender_shares / sender_shares.sum()
+    )
+    work = _work(scenario, class_indices, streams)
+    key_draws = streams.stream("order").random(times.size)
+    key_counts = np.asarray([kind.order_keys for kind in scenario.classes])[class_indices]
+    order_keys = np.where(key_counts > 0, targets * 1000 + (key_draws * key_counts).astype(int), -1)
     columns = zip(
         times.tolist(),
-        kinds.tolist(),
-        where.tolist(),
-        by.tolist(),
+        class_indices.tolist(),
+        targets.tolist(),
+        sender_indices.tolist(),
         work.tolist(),
         order_keys.tolist(),
         strict=True,
@@ -296,22 +308,22 @@
     return [Message(i + 1, *row) for i, row in enumerate(columns)]
 
 
-def _work(scenario: Scenario, kinds: np.ndarray, streams: RandomStreams) -> np.ndarray:
+def _work(scenario: Scenario, class_indices: np.ndarray, streams: RandomStreams) -> np.ndarray:
     """Times its class's mean, log-normal with that mean at one."""
-    spread = np.asarray([kind.work_spread for kind in scenario.classes])[kinds]
+    spread = np.asarray([kind.work_spread for kind in scenario.classes])[class_indices]
     sigma = np.sqrt(np.log1p(spread**2))
-    normal = streams.stream("work").standard_normal(kinds.size)
-    return np.asarray(np.minimum(np.exp(sigma * normal - sigma**2 / 2.0), LONGEST_WORK))
+    normal = streams.stream("work").standard_normal(class_indices.size)
+    return np.asarray(np.minimum(np.exp(sigma * normal - sigma**2 / 2.0), MAX_WORK))
 
 
-def _poisson(
-    rate: float, swing: float, wave: float, length: float, stream: np.random.Generator
+def _poisson_arrivals(
+    mean_rate: float, swing: float, period: float, length: float, stream: np.random.Generator
 ) -> np.ndarray:
     """Times of independent arrivals; with a swing the rate goes up and down in waves (by thinning)."""
-    most = rate * (1.0 + swing)
-    count = int(stream.poisson(most * length)) if most > 0.0 else 0
+    max_rate = mean_rate * (1.0 + swing)
+    count = int(stream.poisson(max_rate * length)) if max_rate > 0.0 else 0
     times = np.sort(stream.uniform(0.0, length, count))
     if swing:
-        wanted = rate * (1.0 + swing * np.sin(2.0 * np.pi * times / wave))
-        times = times[stream.random(count) * most < wanted]
+        rates = mean_rate * (1.0 + swing * np.sin(2.0 * np.pi * times / period))
+        times = times[stream.random(count) * max_rate < rates]
     return np.asarray(times)
