--- a/irisstack/lab/baselines.py
+++ b/irisstack/lab/baselines.py
@@ -1,8 +1,8 @@
-"""Other policies to hold the decision module against, in the laboratory only.
+"""Baseline policies that the decision module is compared with, for the laboratory only.
 
-All of them keep drains, told waits, order, slots, the holding room, and never repeat what may have run where
-that could double its effect. None of them paces a destination's return. They differ in when a message goes
-again and in what keeps them from calling.
+All of them honour drains, Retry-After, ordering keys and the limits on concurrent calls and pending messages.
+None repeats a message that may have run where that could double its effect. None limits the load of a
+recovering destination. They differ in when a message is retried and in what keeps them from calling.
 """
 
 from collections import deque
@@ -18,12 +18,12 @@
 NOT_RUN_OUTCOMES = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 NEVER = float("inf")
 MIN_TIME_LEFT = 0.1
-"""Seconds that a message must have left to be worth a call."""
+"""Seconds before its deadline after which a message is not worth a call."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """A message that is owed its end."""
+    """A message without a final result."""
 
     id: int
     message_class: api.MessageClass
@@ -37,7 +37,7 @@
 
     @property
     def latest_call(self) -> float:
-        """Until when a call is worth while and, like a refusal, cannot double its effect."""
+        """Latest time at which a call is worthwhile and can, like a refusal, not double its effect."""
         if self.may_have_run_at is None or self.message_class.effect is Effect.SAFE:
             return self.due - MIN_TIME_LEFT
         if (
@@ -48,7 +48,7 @@
         return min(self.due, self.may_have_run_at + self.message_class.dedup_window) - MIN_TIME_LEFT
 
     def may_be_refused(self, now: float) -> bool:
-        """Whether handing it in again is harmless."""
+        """Whether another submission of the message cannot double its effect."""
         if self.may_have_run_at is None or self.message_class.effect is Effect.SAFE:
             return True
         return (
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, eq=False)
 class OpenCall:
-    """The messages of one call."""
+    """A call, and how many of its messages have no outcome yet."""
 
     sent_at: float
     open_messages: int
@@ -73,14 +73,14 @@
     number: int
     kind: api.DestinationKind | None = None
     rate: float = 0.0
-    endpoints: dict[api.Address, int] = field(default_factory=dict)  # calls out
+    endpoints: dict[api.Address, int] = field(default_factory=dict)  # open calls by address
     queue: deque[PendingMessage] = field(default_factory=deque)
     blocked_until: float = 0.0
     open_calls: int = 0
 
 
 class Baseline:
-    """What all of them share; a subclass says when to call and when to try again."""
+    """What all baselines share; a subclass decides when to call and when to retry."""
 
     def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         self.settings = settings
@@ -94,7 +94,7 @@
         self._key_queues: dict[int, deque[PendingMessage]] = {}
         self._retries: list[tuple[float, int, PendingMessage]] = []
         self._deadlines: list[tuple[float, int, PendingMessage]] = []
-        self._queued: dict[int, None] = {}
+        self._queued: dict[int, None] = {}  # destinations with a queue, in order
         self._free_calls = settings.max_calls
         self._sequence = self._timer_token = 0
         self._timer_at = NEVER
@@ -103,11 +103,11 @@
     # ---- for subclasses ----
 
     def next_call_at(self, target: DestinationState) -> float:
-        """The earliest time of the next call there."""
+        """The earliest time of the next call to the destination."""
         return 0.0
 
     def on_call_sent(self, target: DestinationState) -> None:
-        """A call is leaving."""
+        """A call is being sent."""
 
     def on_call_ended(self, target: DestinationState, outcome: Outcome) -> None:
         """A call has ended."""
@@ -117,15 +117,18 @@
         return None
 
     def choose_endpoint(self, target: DestinationState) -> api.Address:
-        """The endpoint of the next call: the one with the fewest calls out."""
-        return min(target.endpoints, key=lambda address: (target.endpoints[address], self.random.random()))
+        """The endpoint of the next call: the one with the fewest open calls."""
+        return min(
+            target.endpoints,
+            key=lambda address: (target.endpoints[address], self.random.random()),
+        )
 
     def take_next(self, target: DestinationState) -> PendingMessage:
-        """Take the next message out of the line: the one that came first."""
+        """Remove the next message from the queue: the first one."""
         return target.queue.popleft()
 
     def rejection_wait(self, target: DestinationState) -> float:
-        """Seconds after which to come again if messages are turned away now, else 0.0."""
+        """Seconds of Retry-After if new messages are rejected now, else 0.0."""
         return 0.0
 
     # ---- the interface ----
@@ -335,14 +338,15 @@
 
 
 class SingleAttempt(Baseline):
-    """Each message is tried once."""
+    """Each message gets one attempt."""
 
 
 BACKOFF_BASE, BACKOFF_MAX = 0.25, 8.0
+"""Seconds."""
 
 
 class Backoff(Baseline):
-    """Tried again after exponential backoff with full jitter."""
+    """Exponential backoff with full jitter."""
 
     def retry_delay(self, pending: PendingMessage, outcome: Outcome) -> float | None:
         max_delay = min(BACKOFF_MAX, BACKOFF_BASE * 2.0**pending.attempts)
@@ -350,10 +354,11 @@
 
 
 BREAKER_FAILURES, BREAKER_OPEN_DURATION = 5, 5.0
+"""Failures in a row that open the breaker, and seconds for which it stays open."""
 
 
 class HalfOpenBreaker(Backoff):
-    """The textbook's breaker: five failures in a row open it for 5 s, then one trial call decides."""
+    """The classic circuit breaker: five failures in a row open it for 5 s, then one trial call decides."""
 
     def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         super().__init__(settings, seed, oracle)
@@ -364,9 +369,8 @@
         open_until = self._open_until.get(target.number)
         if open_until is None:
             return 0.0
-        return (
-            NEVER if self.now >= open_until and target.open_calls else open_until
-        )  # half open: one call at a time
+        # Half-open: one call at a time.
+        return NEVER if self.now >= open_until and target.open_calls else open_until
 
     def rejection_wait(self, target: DestinationState) -> float:
         return max(0.0, self._open_until.get(target.number, 0.0) - self.now)
@@ -383,11 +387,11 @@
 
 
 class TokenBucket(Backoff):
-    """Calls spaced by this sender's even part of the rate that the list tells."""
+    """Calls spaced at this sender's equal share of the rate in the endpoint list."""
 
     def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         super().__init__(settings, seed, oracle)
-        self._tokens: dict[int, tuple[float, float]] = {}
+        self._tokens: dict[int, tuple[float, float]] = {}  # tokens, and the time of that count
 
     def _rate(self, target: DestinationState) -> float:
         return max(target.rate / self.settings.senders, 0.1)
@@ -402,7 +406,7 @@
 
 
 class Aimd(Backoff):
-    """Calls out at once to each destination: one more for each round that succeeds, half for each failure."""
+    """A window of concurrent calls: one more for each round of successes, halved by each failure."""
 
     def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         super().__init__(settings, seed, oracle)
@@ -421,12 +425,13 @@
 
 
 class OraclePolicy(Backoff):
-    """An upper bound: it sees what room a destination has just now, and takes it for the message worth most.
+    """An upper bound: it knows the free capacity of a destination and gives it to the most valuable message.
 
-    It does not see the future, nor what a call will meet on its way.
+    It knows neither the future nor the faults that a call meets on its way.
     """
 
     POLL_INTERVAL = 0.02
+    """Seconds between two checks for free capacity."""
 
     def next_call_at(self, target: DestinationState) -> float:
         return (
@@ -477,4 +482,4 @@
     "aimd": _factory(Aimd),
     "seer": _factory(OraclePolicy),
 }
-"""Every policy by its name."""
+"""All policies by name."""
--- a/irisstack/lab/policy.py
+++ b/irisstack/lab/policy.py
@@ -1,4 +1,4 @@
-"""What decides in a node: the decision module, or something to compare it with."""
+"""The policy that decides in a simulated node: the decision module, or a baseline to compare it with."""
 
 from collections.abc import Callable, Collection
 from typing import Protocol
@@ -8,24 +8,24 @@
 
 
 class Policy(Protocol):
-    """The decision module's own interface."""
+    """The interface of the decision module."""
 
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
-        """Take all that came at one time and answer with what to do about it."""
+        """Process the events that arrived at one time and return the actions to take."""
 
 
 class Oracle(Protocol):
-    """What no sender can see; for the upper bound alone."""
+    """The true state of the destinations, which no sender can see; only for the upper bound."""
 
     def find_endpoint(self, now: float, destination: int) -> api.Address | None:
-        """An endpoint that would serve a call leaving now; `None` if there is none."""
+        """An endpoint that would serve a call sent now; `None` if there is none."""
 
     def reserve_endpoint(self, now: float, destination: int) -> api.Address | None:
-        """The same, and the room is taken."""
+        """The same; its capacity for one call is reserved as well."""
 
 
 PolicyFactory = Callable[[api.Settings, int, Oracle], Policy]
-"""Makes a node's policy from its settings and a seed."""
+"""Creates a node's policy from its settings and a seed."""
 
 
 def decision_module(settings: api.Settings, seed: int, oracle: Oracle) -> Policy:
--- a/irisstack/lab/world.py
+++ b/irisstack/lab/world.py
@@ -1,7 +1,7 @@
-"""A scenario and a seed as a concrete world: who there is, what is handed in when, what goes wrong.
+"""Generates the world of a scenario and a seed: destinations, senders, messages and incidents.
 
-Nothing here plays anything. Each purpose draws from a stream of its own, so that a change of one figure
-leaves the rest as it was and two variants can be compared message by message.
+The world is only data; it is played elsewhere. Each purpose draws from a random stream of its own, so that a
+change of one value leaves all other draws unchanged and two variants can be compared message by message.
 """
 
 import math
@@ -14,7 +14,7 @@
 from irisstack.lab.scenario import DEFAULT_STRENGTH, LIST_TROUBLES, NODE_TROUBLES, Kind, Scenario, Trouble
 
 MAX_WORK = 10.0
-"""Work is drawn up to so many times its mean: one message must not outlast the day by itself."""
+"""Upper bound of a message's work, as a multiple of the mean: one message must not take up the whole run."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
     destination: int
     concurrency: int
     queue_limit: int
-    max_connections: int  # 0: no bound
+    max_connections: int  # 0: unlimited
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,10 +35,10 @@
     number: int
     kind_index: int
     kind: Kind
-    message_rate: float  # messages a second, mean
-    duration_factor: float
-    capacity: float  # calls a second, of all its endpoints
-    rate_limit: float  # calls a second; 0 for none
+    message_rate: float  # mean, in messages a second
+    duration_factor: float  # of a call, relative to the classes' mean work
+    capacity: float  # calls a second, over all its endpoints
+    rate_limit: float  # calls a second; 0: unlimited
     endpoints: tuple[EndpointSpec, ...]
 
 
@@ -47,27 +47,27 @@
     """One delivery node."""
 
     number: int
-    traffic_share: float  # of the traffic
-    max_calls: int
+    traffic_share: float  # from 0 to 1
+    max_calls: int  # concurrent
     max_pending: int
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """What a client wants delivered; `number` stays over all its handings in (the ledger's chain)."""
+    """A message to deliver; `number` is the same for all its submissions (the ledger's `chain`)."""
 
     number: int
     submit_at: float
     message_class: int
     destination: int
     sender: int
-    work: float  # times its class's mean
+    work: float  # as a multiple of the class's mean
     order_key: int
 
 
 @dataclass(slots=True, frozen=True)
 class Incident:
-    """A trouble with all its figures drawn."""
+    """A trouble with all its random values drawn; times in seconds from the start of the run."""
 
     trouble: Trouble
     starts_at: float
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class World:
-    """All that is fixed before the first message."""
+    """Everything that is fixed before a run."""
 
     scenario: Scenario
     streams: RandomStreams
@@ -93,11 +93,11 @@
 
     @property
     def first_replacement_number(self) -> int:
-        """From this number on an endpoint is one that came later."""
+        """Endpoints with this number or a higher one are replacements, added during the run."""
         return sum(len(spec.endpoints) for spec in self.destinations.values()) + 1
 
     def one_way_delays(self) -> dict[int, float]:
-        """Seconds from a node to each destination; the same at each call."""
+        """One-way network delay in seconds by destination; the same at each call."""
         stream = self.streams.stream("network")
         return {number: sample(self.scenario.network.one_way_s, stream) for number in self.destinations}
 
@@ -106,7 +106,7 @@
         return self.scenario.scenario.length_s
 
     def replace_endpoint(self, replaced: EndpointSpec) -> EndpointSpec:
-        """The endpoint that replaces another, under a number of its own."""
+        """Add the replacement of an endpoint, with a number of its own."""
         replacement = EndpointSpec(
             self.next_endpoint_number,
             replaced.destination,
@@ -120,7 +120,7 @@
 
 
 def build_world(scenario: Scenario, seed: int | None = None) -> World:
-    """Draw a world; the scenario's own seed unless told."""
+    """Generate the world of a scenario, from the scenario's own seed if none is given."""
     streams = RandomStreams(scenario.scenario.seed if seed is None else seed)
     destinations = _destinations(scenario, streams)
     incidents = tuple(
@@ -141,12 +141,13 @@
 
 
 def mean_work_seconds(scenario: Scenario) -> float:
-    """Seconds of work of a message, over all classes."""
+    """Mean work of a message in seconds, over all classes."""
     total = sum(kind.share for kind in scenario.classes)
     return sum(kind.share * kind.work_s for kind in scenario.classes) / total
 
 
 def _zipf_shares(count: int, skew: float) -> np.ndarray:
+    """Shares that sum to 1; the n-th is proportional to 1 / n ** skew."""
     weights = np.arange(1, count + 1, dtype=float) ** -skew
     return np.asarray(weights / weights.sum())
 
@@ -168,7 +169,7 @@
                 rate_limit = max(kind.limit.least, rate * sample(kind.limit.of_traffic, stream))
             low, high = kind.endpoints if isinstance(kind.endpoints, list) else (kind.endpoints,) * 2
             endpoint_count = int(stream.integers(low, high + 1))
-            # Work goes in whole servers; the pace takes up what rounding leaves over.
+            # The concurrency of an endpoint is a whole number; the duration factor makes up for the rounding.
             concurrency = max(1, round(capacity * work * duration_factor / endpoint_count))
             duration_factor = concurrency * endpoint_count / (capacity * work)
             specs = tuple(
@@ -240,7 +241,7 @@
 
 
 def _choose(population: Sequence[int], share: float | None, stream: np.random.Generator) -> tuple[int, ...]:
-    """A part of them, one at least; without a part told, one."""
+    """Choose a share of the population, at least one member; one if no share is given."""
     count = 1 if share is None else max(1, round(share * len(population)))
     return tuple(sorted(int(n) for n in stream.choice(np.asarray(population), size=count, replace=False)))
 
@@ -252,7 +253,7 @@
     incidents: tuple[Incident, ...],
     streams: RandomStreams,
 ) -> list[Message]:
-    """Everything that is handed in, in order of time."""
+    """All messages, in order of submission."""
     traffic, length = scenario.traffic, scenario.scenario.length_s
     times = _poisson_arrivals(
         traffic.rate * (1.0 - traffic.clumped),
@@ -309,7 +310,7 @@
 
 
 def _work(scenario: Scenario, class_indices: np.ndarray, streams: RandomStreams) -> np.ndarray:
-    """Times its class's mean, log-normal with that mean at one."""
+    """Work as a multiple of the class's mean: log-normal with mean 1, cut off at `MAX_WORK`."""
     spread = np.asarray([kind.work_spread for kind in scenario.classes])[class_indices]
     sigma = np.sqrt(np.log1p(spread**2))
     normal = streams.stream("work").standard_normal(class_indices.size)
@@ -319,7 +320,7 @@
 def _poisson_arrivals(
     mean_rate: float, swing: float, period: float, length: float, stream: np.random.Generator
 ) -> np.ndarray:
-    """Times of independent arrivals; with a swing the rate goes up and down in waves (by thinning)."""
+    """Arrival times of a Poisson process; with a swing the rate follows a sine wave (by thinning)."""
     max_rate = mean_rate * (1.0 + swing)
     count = int(stream.poisson(max_rate * length)) if max_rate > 0.0 else 0
     times = np.sort(stream.uniform(0.0, length, count))
