--- a/irisstack/lab/lateness.py
+++ b/irisstack/lab/lateness.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-LOOK = 0.01
+PROBE_INTERVAL = 0.01
 """Seconds between two looks."""
 
 
@@ -17,8 +17,8 @@
     def run(self) -> None:
         """Look for ever."""
         while True:
-            due = time.monotonic() + LOOK
-            gevent.sleep(LOOK)
+            due = time.monotonic() + PROBE_INTERVAL
+            gevent.sleep(PROBE_INTERVAL)
             self.samples.append(max(0.0, time.monotonic() - due))
 
     def quantile(self, share: float) -> float:
--- a/irisstack/lab/troubles.py
+++ b/irisstack/lab/troubles.py
@@ -6,15 +6,19 @@
 
 DRAIN_PERIOD = 6.0
 """Seconds that a draining endpoint still takes calls before it is gone."""
-MOST_FAIL = 0.5
+OUTAGE_FAILURE_SHARE = 0.5
 """From this part of its calls failing on, a destination counts as down."""
 
 
 def is_outage(incident: Incident) -> bool:
     """Whether the destinations that it strikes are down while it lasts, and cold when it ends."""
     kind = incident.trouble.kind
-    whole = incident.trouble.endpoints is None
-    return whole and kind in OUTAGE_TROUBLES and (kind != "fails_fast" or incident.strength >= MOST_FAIL)
+    whole_destination = incident.trouble.endpoints is None
+    return (
+        whole_destination
+        and kind in OUTAGE_TROUBLES
+        and (kind != "fails_fast" or incident.strength >= OUTAGE_FAILURE_SHARE)
+    )
 
 
 def apply_to_endpoint(incident: Incident, endpoint: Endpoint, class_index: int | None) -> None:
@@ -55,12 +59,12 @@
 
 def clear_from_endpoint(incident: Incident, endpoint: Endpoint) -> None:
     """Clear what this trouble set. Where two of a kind overlap, the end of one is the end of both."""
-    conditions, fresh = endpoint.conditions, Conditions()
-    for name in FIELDS.get(incident.trouble.kind, ()):
-        setattr(conditions, name, getattr(fresh, name))
+    conditions, defaults = endpoint.conditions, Conditions()
+    for name in CONDITION_FIELDS.get(incident.trouble.kind, ()):
+        setattr(conditions, name, getattr(defaults, name))
 
 
-FIELDS = {
+CONDITION_FIELDS = {
     "silent": ("silent",),
     "shut": ("refuses_until", "retry_after_probability"),
     "connect_refused": ("refuses_connections",),
