--- a/irisstack/lab/clients.py
+++ b/irisstack/lab/clients.py
@@ -1,14 +1,14 @@
-"""Those who hand messages in: when they come again, and whether they heed advice. Pure."""
+"""Client behaviour: when clients retry, and whether they honour Retry-After. Makes no calls itself."""
 
 from irisstack.lab.sampling import RandomStreams, sample
 from irisstack.lab.scenario import Clients
 
 MIN_TIME_LEFT = 0.05
-"""Seconds that a message must have left for a client to hand it in once more."""
+"""Seconds to its deadline that a message must have for a client to submit it again."""
 
 
 class ClientBehaviour:
-    """All clients of a world."""
+    """The behaviour of all clients of a world."""
 
     def __init__(self, config: Clients, streams: RandomStreams) -> None:
         self._config = config
@@ -18,13 +18,14 @@
         self._resend = streams.stream("clients", "resend")
 
     def disconnects_early(self) -> bool:
-        """Whether this one closes its connection before it has read the answer."""
+        """Whether the next client closes its connection before it has read the answer."""
         return self._config.leave > 0.0 and self._leave_draw() < self._config.leave
 
     def retry_delay(self, submissions: int, retry_after: float, time_left: float) -> float | None:
-        """After a refusal: seconds until the message is handed in again; `None` if it is not.
+        """Seconds after a refusal until the message is submitted again; `None` if it is not.
 
-        `tries` are the handings in so far, `advice` the told seconds (0: none), `left` the time that it has.
+        `submissions` counts the submissions so far, `retry_after` is the advised wait (0 for none), and
+        `time_left` is the time to the deadline, both in seconds.
         """
         if submissions > self._config.retries:
             return None
@@ -34,5 +35,5 @@
         return delay if delay + MIN_TIME_LEFT < time_left else None
 
     def failover_delay(self) -> float:
-        """Seconds until another node is tried, after one could not be reached or died."""
+        """Seconds until another node is tried, after a node died or could not be reached."""
         return sample(self._config.resend_s, self._resend)
--- a/irisstack/lab/node_settings.py
+++ b/irisstack/lab/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the platform gives a node in a scenario, the same in virtual time and on sockets."""
+"""A node's settings in a scenario, the same in virtual time and on real sockets."""
 
 from typing import Any
 
@@ -7,16 +7,16 @@
 from irisstack.lab.world import World
 
 REPEAT_WIRE_NAMES = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
-"""A scenario's word for how a class may be repeated, and the platform's."""
+"""Values of `repeat` in the settings, by the scenario's values."""
 ZONE = "lab"
 TENANT = "lab"
 
 
 def settings_object(world: World, sender: int) -> dict[str, Any]:
-    """One node's settings object as JSON values, under the platform's keys; times are seconds."""
+    """One node's settings object as JSON values under the platform's keys; times in seconds."""
     scenario, spec = world.scenario, world.senders[sender]
     senders, rules = scenario.senders, scenario.rules
-    cold_starts = [kind.cold for kind in scenario.kinds]  # the platform has one figure for all: the strictest
+    cold_starts = [kind.cold for kind in scenario.kinds]  # the settings hold one value for all: the strictest
     return {
         "balancers": senders.count,
         "ordinal": sender,
@@ -72,7 +72,7 @@
 
 
 def decision_settings(world: World, sender: int) -> api.Settings:
-    """The same settings as the decision module takes them."""
+    """The same settings in the form that the decision module uses."""
     raw = settings_object(world, sender)
     if raw["invariants"]["askWithin"] is None:
         del raw["invariants"]["askWithin"]
--- a/irisstack/lab/sampling.py
+++ b/irisstack/lab/sampling.py
@@ -20,7 +20,7 @@
         self.seed = seed
 
     def stream(self, *purpose: object) -> np.random.Generator:
-        """The generator for a purpose: the same for the same seed and words, whatever else is drawn."""
+        """The generator for a purpose. It depends only on the seed and the words of the purpose."""
         key = zlib.crc32("/".join(str(word) for word in purpose).encode())
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=(key,))))
 
@@ -35,7 +35,7 @@
 
 
 def sample(value: float | list[float], generator: np.random.Generator) -> float:
-    """A scenario's figure: a plain number as it is, a range `[low, high]` drawn uniformly."""
+    """A value of a scenario: a number as it is, or a uniform draw from a range `[low, high]`."""
     if isinstance(value, list):
         return float(generator.uniform(value[0], value[1]))
     return float(value)
--- a/irisstack/lab/troubles.py
+++ b/irisstack/lab/troubles.py
@@ -1,17 +1,17 @@
-"""What each trouble does to a partner's endpoints, and when a destination comes back cold."""
+"""Applies troubles to a partner's endpoints and destinations, and clears them."""
 
 from irisstack.lab.partner import Conditions, Destination, Endpoint
 from irisstack.lab.scenario import OUTAGE_TROUBLES
 from irisstack.lab.world import Incident
 
 DRAIN_PERIOD = 6.0
-"""Seconds that a draining endpoint still takes calls before it is gone."""
+"""Seconds for which a draining endpoint still accepts calls before it is removed."""
 OUTAGE_FAILURE_SHARE = 0.5
-"""From this part of its calls failing on, a destination counts as down."""
+"""A destination with at least this share of failing calls counts as down."""
 
 
 def is_outage(incident: Incident) -> bool:
-    """Whether the destinations that it strikes are down while it lasts, and cold when it ends."""
+    """Whether the affected destinations are down during the incident, and cold after it."""
     kind = incident.trouble.kind
     whole_destination = incident.trouble.endpoints is None
     return (
@@ -22,7 +22,7 @@
 
 
 def apply_to_endpoint(incident: Incident, endpoint: Endpoint, class_index: int | None) -> None:
-    """Set what is wrong with an endpoint."""
+    """Set the endpoint's conditions."""
     conditions, trouble, strength = endpoint.conditions, incident.trouble, incident.strength
     conditions.execution_probability = trouble.runs
     match trouble.kind:
@@ -53,12 +53,12 @@
         case "idle_dropped":
             conditions.idle_timeout = strength
         case "class_fails":
-            assert class_index is not None, "the scenario's check asks for one"
+            assert class_index is not None, "required by the validation of the scenario"
             conditions.class_error_probability = {class_index: strength}
 
 
 def clear_from_endpoint(incident: Incident, endpoint: Endpoint) -> None:
-    """Clear what this trouble set. Where two of a kind overlap, the end of one is the end of both."""
+    """Reset the conditions that this trouble set. The end of one of two overlapping ones clears both."""
     conditions, defaults = endpoint.conditions, Conditions()
     for name in CONDITION_FIELDS.get(incident.trouble.kind, ()):
         setattr(conditions, name, getattr(defaults, name))
@@ -78,17 +78,17 @@
     "idle_dropped": ("idle_timeout",),
     "class_fails": ("class_error_probability",),
 }
-"""The conditions that each trouble sets."""
+"""Fields of `Conditions` that each trouble sets."""
 
 
 def apply_to_destination(incident: Incident, destination: Destination) -> None:
-    """Set what is wrong with a destination as a whole."""
+    """Apply a trouble that concerns the destination as a whole."""
     if incident.trouble.kind == "limit_lowered" and destination.limiter is not None:
         destination.limiter.factor = incident.strength
 
 
 def clear_from_destination(incident: Incident, destination: Destination, now: float) -> None:
-    """Clear it; a destination that was down is cold from now on."""
+    """Clear such a trouble; a destination that was down is cold from now on."""
     if incident.trouble.kind == "limit_lowered" and destination.limiter is not None:
         destination.limiter.factor = 1.0
     if is_outage(incident):
