--- a/irisstack/lab/audit/rules.py
+++ b/irisstack/lab/audit/rules.py
@@ -11,7 +11,7 @@
 from irisstack.lab import ledger as records
 from irisstack.lab.audit.parameters import AuditParameters
 
-RULES_SHARE = 2.0 / 3.0
+AWARE_LOAD_SHARE = 2.0 / 3.0
 """Of the load that pushed a destination over: from this part on it is the fault of nodes that knew better."""
 EPSILON = 1e-6
 """Seconds by which two records of one moment may differ."""
@@ -57,57 +57,57 @@
 
 def build_index(ledger: Iterable[records.Entry]) -> Index:
     """Group a ledger's records."""
-    found = Index({}, defaultdict(list), [], [], [], [], defaultdict(list), [], [], [])
-    submissions = found.submissions
+    index = Index({}, defaultdict(list), [], [], [], [], defaultdict(list), [], [], [])
+    submissions = index.submissions
     for entry in ledger:
         match entry:
             case records.Submitted():
                 history = submissions[entry.message] = SubmissionHistory(entry)
-                found.by_chain[entry.chain].append(history)
+                index.by_chain[entry.chain].append(history)
             case records.Accepted():
                 submissions[entry.message].accepted_at = entry.t
             case records.Sent():
                 submissions[entry.message].sent.append(entry)
-                found.sent.append(entry)
+                index.sent.append(entry)
             case records.Answered():
                 submissions[entry.message].answered.append(entry)
-                found.answered.append(entry)
+                index.answered.append(entry)
             case records.Ended():
                 submissions[entry.message].ended.append(entry)
             case records.Executed():
-                found.executed.append(entry)
+                index.executed.append(entry)
             case records.EndpointAnnounced():
-                found.announced.append(entry)
+                index.announced.append(entry)
             case records.Outage():
-                found.outages.append(entry)
+                index.outages.append(entry)
             case records.Overloaded():
-                found.overloads.append(entry)
+                index.overloads.append(entry)
             case records.NodeState():
-                found.states[entry.node].append(entry)
+                index.states[entry.node].append(entry)
             case records.NeverSubmitted():
-                found.never_submitted.append(entry)
-    found.sent.sort(key=lambda entry: entry.t)
-    return found
+                index.never_submitted.append(entry)
+    index.sent.sort(key=lambda entry: entry.t)
+    return index
 
 
 # ---- 1: one final answer in time, and nothing sent after it ----
 
 
-def one_answer(found: Index, figures: AuditParameters) -> list[Breach]:
+def check_final_answers(index: Index, parameters: AuditParameters) -> list[Breach]:
     """Each message handed to a running node ends once, in time, and nothing is sent for it afterwards."""
     breaches = []
 
     def broken(t: float, history: SubmissionHistory, text: str) -> None:
         breaches.append(Breach("one answer", t, history.submitted.node, history.submitted.message, text))
 
-    for history in found.submissions.values():
+    for history in index.submissions.values():
         submitted = history.submitted
         if any(end.result == "unheard" for end in history.ended):
             continue  # its client left unseen: what is done under this number counts for nothing
-        states = found.states.get(submitted.node, [])
+        states = index.states.get(submitted.node, [])
         if len(history.ended) > 1:
             broken(history.ended[1].t, history, f"ended {len(history.ended)} times")
-        latest = _latest_end(history, states, figures)
+        latest = _latest_final_result(history, states, parameters)
         if latest is not None:
             if not history.ended:
                 broken(latest, history, "never ended")
@@ -128,11 +128,11 @@
     return breaches
 
 
-def _latest_end(
-    history: SubmissionHistory, states: Sequence[records.NodeState], figures: AuditParameters
+def _latest_final_result(
+    history: SubmissionHistory, states: Sequence[records.NodeState], parameters: AuditParameters
 ) -> float | None:
     """When the message's end is due; `None` if its node no longer owes one."""
-    latest = history.submitted.due + figures.answer_slack
+    latest = history.submitted.due + parameters.answer_slack
     down: float | None = None
     for state in states:
         if state.t < history.submitted.t:
@@ -145,7 +145,7 @@
             return None  # never on record: its client hands it in once more
         if state.state == "ready" and down is not None:
             if down <= latest:
-                latest = max(latest, state.t + figures.restart_slack)
+                latest = max(latest, state.t + parameters.restart_slack)
             down = None
     return None if down is not None and down <= latest else latest
 
@@ -153,44 +153,48 @@
 # ---- 2: no effect twice ----
 
 
-def no_effect_twice(found: Index, figures: AuditParameters) -> list[Breach]:
+def check_effects(index: Index, parameters: AuditParameters) -> list[Breach]:
     """What may have run goes again, or is refused, only where that cannot double its effect."""
     breaches = []
-    for history in found.submissions.values():
-        kind = figures.classes[history.submitted.message_class]
+    for history in index.submissions.values():
+        kind = parameters.classes[history.submitted.message_class]
         if kind.repeat == "safe":
             continue
         # In order of time; at one moment an attempt's end comes before the next sending.
-        steps = sorted(
+        events = sorted(
             [
                 *((a.t, 0, a) for a in history.answered),
                 *((s.t, 1, s) for s in history.sent),
                 *((e.t, 2, e) for e in history.ended),
             ],
-            key=lambda step: step[:2],
+            key=lambda event: event[:2],
         )
         open_sends: list[records.Sent] = []
-        maybe: float | None = None  # when the first attempt that may have run was sent
-        for t, _, step in steps:
-            match step:
+        may_have_run_at: float | None = None  # when the first attempt that may have run was sent
+        for t, _, event in events:
+            match event:
                 case records.Answered():
-                    sent = next((s for s in open_sends if s.endpoint == step.endpoint), None)
+                    sent = next((s for s in open_sends if s.endpoint == event.endpoint), None)
                     if sent is not None:
                         open_sends.remove(sent)
-                        if step.verdict not in records.KNOWN_NOT_RUN and (maybe is None or sent.t < maybe):
-                            maybe = sent.t
+                        if event.verdict not in records.KNOWN_NOT_RUN and (
+                            may_have_run_at is None or sent.t < may_have_run_at
+                        ):
+                            may_have_run_at = sent.t
                 case records.Sent() | records.Ended(result="refused"):
-                    early = [s.t for s in open_sends] + ([maybe] if maybe is not None else [])
-                    first = min(early, default=None)
-                    what = "sent again" if isinstance(step, records.Sent) else "refused"
+                    earlier = [s.t for s in open_sends] + (
+                        [may_have_run_at] if may_have_run_at is not None else []
+                    )
+                    first = min(earlier, default=None)
+                    action = "sent again" if isinstance(event, records.Sent) else "refused"
                     if first is not None and kind.repeat == "unsafe":
                         breaches.append(
                             Breach(
                                 "no effect twice",
                                 t,
-                                step.node,
-                                step.message,
-                                f"{what} though an attempt of {first:.3f} may have run",
+                                event.node,
+                                event.message,
+                                f"{action} though an attempt of {first:.3f} may have run",
                             )
                         )
                     elif first is not None and t > first + kind.window_s + EPSILON:
@@ -198,49 +202,49 @@
                             Breach(
                                 "no effect twice",
                                 t,
-                                step.node,
-                                step.message,
-                                f"{what} {t - first:.3f} s after one that may have run",
+                                event.node,
+                                event.message,
+                                f"{action} {t - first:.3f} s after one that may have run",
                             )
                         )
-                    if isinstance(step, records.Sent):
-                        open_sends.append(step)
+                    if isinstance(event, records.Sent):
+                        open_sends.append(event)
     return breaches
 
 
-def count_duplicate_effects(found: Index, figures: AuditParameters) -> int:
+def count_duplicate_effects(index: Index, parameters: AuditParameters) -> int:
     """Messages that took effect more than once, whoever is at fault (those safe to repeat aside)."""
     effects: dict[int, int] = defaultdict(int)
-    for ran in found.executed:
-        effects[ran.chain] += ran.effect
+    for execution in index.executed:
+        effects[execution.chain] += execution.effect
     return sum(
         1
         for chain, count in effects.items()
-        if count > 1 and figures.classes[found.by_chain[chain][0].submitted.message_class].repeat != "safe"
+        if count > 1 and parameters.classes[index.by_chain[chain][0].submitted.message_class].repeat != "safe"
     )
 
 
 # ---- 3: drains ----
 
 
-def drains_kept(found: Index, figures: AuditParameters) -> list[Breach]:
+def check_drains(index: Index, parameters: AuditParameters) -> list[Breach]:
     """Nothing new goes to an endpoint once its node knows, and the grace is over."""
-    known: dict[tuple[int, int], list[tuple[float, bool]]] = defaultdict(list)
-    for announcement in found.announced:
-        known[announcement.node, announcement.endpoint].append(
+    state_changes: dict[tuple[int, int], list[tuple[float, bool]]] = defaultdict(list)
+    for announcement in index.announced:
+        state_changes[announcement.node, announcement.endpoint].append(
             (announcement.t, announcement.state != "ready")
         )
     breaches = []
-    for sent in found.sent:
-        history = known.get((sent.node, sent.endpoint))
+    for sent in index.sent:
+        history = state_changes.get((sent.node, sent.endpoint))
         if not history:
             continue
         since: float | None = None
-        for t, away in history:
+        for t, unavailable in history:
             if t > sent.t:
                 break
-            since = (t if since is None else since) if away else None
-        if since is not None and sent.t > since + figures.drain_grace + EPSILON:
+            since = (t if since is None else since) if unavailable else None
+        if since is not None and sent.t > since + parameters.drain_grace + EPSILON:
             breaches.append(
                 Breach(
                     "drains",
@@ -256,40 +260,42 @@
 # ---- 4: a destination that returns is not pushed over ----
 
 
-def not_pushed_over(found: Index, figures: AuditParameters) -> list[Breach]:
+def check_overloads(index: Index, parameters: AuditParameters) -> list[Breach]:
     """No fall for which two thirds of the load came from nodes that had seen the outage."""
     sent_to: dict[int, list[records.Sent]] = defaultdict(list)
-    for sent in found.sent:
+    for sent in index.sent:
         sent_to[sent.destination].append(sent)
     failures: dict[int, list[tuple[float, int]]] = defaultdict(list)
-    for answer in found.answered:
+    for answer in index.answered:
         if answer.verdict != "ok":
-            history = found.submissions[answer.message]
+            history = index.submissions[answer.message]
             failures[history.submitted.destination].append((answer.t, answer.node))
-    down: dict[int, list[float]] = defaultdict(list)
-    for outage in found.outages:
+    outage_starts: dict[int, list[float]] = defaultdict(list)
+    for outage in index.outages:
         if outage.down:
-            down[outage.destination].append(outage.t)
+            outage_starts[outage.destination].append(outage.t)
     breaches = []
-    for fall in found.overloads:
-        began = max((t for t in down[fall.destination] if t < fall.t - EPSILON), default=None)
-        if began is None:
+    for overload in index.overloads:
+        outage_start = max(
+            (t for t in outage_starts[overload.destination] if t < overload.t - EPSILON), default=None
+        )
+        if outage_start is None:
             continue
-        aware = {node for t, node in failures[fall.destination] if began <= t <= fall.t}
-        calls = sent_to[fall.destination]
-        first = bisect_left(
-            calls, fall.t - figures.overload_windows[fall.destination], key=lambda sent: sent.t
+        aware = {node for t, node in failures[overload.destination] if outage_start <= t <= overload.t}
+        calls = sent_to[overload.destination]
+        window_start = bisect_left(
+            calls, overload.t - parameters.overload_windows[overload.destination], key=lambda sent: sent.t
         )
-        load = [sent for sent in calls[first:] if sent.t <= fall.t]
+        load = [sent for sent in calls[window_start:] if sent.t <= overload.t]
         by_aware = sum(sent.node in aware for sent in load)
-        if load and by_aware >= RULES_SHARE * len(load):
+        if load and by_aware >= AWARE_LOAD_SHARE * len(load):
             breaches.append(
                 Breach(
                     "not pushed over",
-                    fall.t,
+                    overload.t,
                     -1,
                     -1,
-                    f"destination {fall.destination} fell: {by_aware} of {len(load)} messages "
+                    f"destination {overload.destination} fell: {by_aware} of {len(load)} messages "
                     "came from nodes that had seen it fail",
                 )
             )
@@ -299,14 +305,14 @@
 # ---- 5: order ----
 
 
-def order_kept(found: Index, figures: AuditParameters) -> list[Breach]:
+def check_order(index: Index, parameters: AuditParameters) -> list[Breach]:
     """In a class that asks for it, a node's messages of one key go one at a time, in the order handed in."""
-    lines: dict[tuple[int, int], list[SubmissionHistory]] = defaultdict(list)
-    for history in found.submissions.values():
+    by_key: dict[tuple[int, int], list[SubmissionHistory]] = defaultdict(list)
+    for history in index.submissions.values():
         if history.submitted.order_key >= 0:
-            lines[history.submitted.node, history.submitted.order_key].append(history)
+            by_key[history.submitted.node, history.submitted.order_key].append(history)
     breaches = []
-    for submissions in lines.values():
+    for submissions in by_key.values():
         free_at, blocker = 0.0, -1
         for history in sorted(submissions, key=lambda one: (one.submitted.t, one.submitted.message)):
             if history.sent and history.sent[0].t < free_at - EPSILON:
@@ -319,43 +325,43 @@
                         f"sent while message {blocker} of its key was not over",
                     )
                 )
-            until = _free_after(history, figures)
-            if until > free_at:
-                free_at, blocker = until, history.submitted.message
+            key_free_at = _key_free_at(history, parameters)
+            if key_free_at > free_at:
+                free_at, blocker = key_free_at, history.submitted.message
     return breaches
 
 
-def _free_after(history: SubmissionHistory, figures: AuditParameters) -> float:
+def _key_free_at(history: SubmissionHistory, parameters: AuditParameters) -> float:
     """When the next message of the key may be sent."""
-    until = history.ended[0].t if history.ended else float("inf")
+    free_at = history.ended[0].t if history.ended else float("inf")
     if len(history.answered) < len(history.sent) and not history.ended:
         return float("inf")
     for answer in history.answered:
-        rest = figures.order_pause if answer.verdict in ("timeout", "reset", "cancelled") else 0.0
-        until = max(until, answer.t + rest)
-    return until
+        pause = parameters.order_pause if answer.verdict in ("timeout", "reset", "cancelled") else 0.0
+        free_at = max(free_at, answer.t + pause)
+    return free_at
 
 
 # ---- 6: told waits ----
 
 
-def waits_heeded(found: Index, figures: AuditParameters) -> list[Breach]:
+def check_retry_after(index: Index, parameters: AuditParameters) -> list[Breach]:
     """After a told wait its node sends nothing there until the wait is over."""
     waits: dict[tuple[int, int, int], list[tuple[float, float]]] = defaultdict(list)
     seen: set[tuple[int, int, float, float]] = set()
-    for answer in found.answered:
+    for answer in index.answered:
         if answer.wait:
-            destination = found.submissions[answer.message].submitted.destination
-            route = answer.endpoint if destination in figures.separate_routes else -1
-            if (mark := (answer.node, answer.endpoint, answer.t, answer.wait)) not in seen:
-                seen.add(mark)
+            destination = index.submissions[answer.message].submitted.destination
+            route = answer.endpoint if destination in parameters.separate_routes else -1
+            if (answer_key := (answer.node, answer.endpoint, answer.t, answer.wait)) not in seen:
+                seen.add(answer_key)
                 waits[answer.node, destination, route].append((answer.t, answer.t + answer.wait))
     breaches = []
-    for sent in found.sent:
-        route = sent.endpoint if sent.destination in figures.separate_routes else -1
-        for told, until in waits.get((sent.node, sent.destination, route), ()):
-            if told + figures.wait_slack < sent.t < until - EPSILON and not _restarted(
-                found.states.get(sent.node, ()), told, sent.t
+    for sent in index.sent:
+        route = sent.endpoint if sent.destination in parameters.separate_routes else -1
+        for received_at, until in waits.get((sent.node, sent.destination, route), ()):
+            if received_at + parameters.wait_slack < sent.t < until - EPSILON and not _restarted(
+                index.states.get(sent.node, ()), received_at, sent.t
             ):
                 breaches.append(
                     Breach(
@@ -363,7 +369,7 @@
                         sent.t,
                         sent.node,
                         sent.message,
-                        f"sent {until - sent.t:.3f} s before a wait of {told:.3f} was over",
+                        f"sent {until - sent.t:.3f} s before a wait of {received_at:.3f} was over",
                     )
                 )
                 break
@@ -375,15 +381,15 @@
 
 
 RULES: dict[str, Callable[[Index, AuditParameters], list[Breach]]] = {
-    "one answer": one_answer,
-    "no effect twice": no_effect_twice,
-    "drains": drains_kept,
-    "not pushed over": not_pushed_over,
-    "order": order_kept,
-    "waits": waits_heeded,
+    "one answer": check_final_answers,
+    "no effect twice": check_effects,
+    "drains": check_drains,
+    "not pushed over": check_overloads,
+    "order": check_order,
+    "waits": check_retry_after,
 }
 
 
-def check(found: Index, figures: AuditParameters) -> dict[str, list[Breach]]:
+def check(index: Index, parameters: AuditParameters) -> dict[str, list[Breach]]:
     """Every rule with what broke it."""
-    return {name: rule(found, figures) for name, rule in RULES.items()}
+    return {name: rule(index, parameters) for name, rule in RULES.items()}
--- a/irisstack/lab/audit/scoring.py
+++ b/irisstack/lab/audit/scoring.py
@@ -52,7 +52,7 @@
     return kind.worth * (1.0 - late * (1.0 - kind.late_worth))
 
 
-def score(found: Index, figures: AuditParameters) -> RunScore:
+def score(index: Index, parameters: AuditParameters) -> RunScore:
     """Score a run; a client's retries belong to its first submission."""
     earned: dict[str, float] = defaultdict(float)
     asked: dict[str, float] = defaultdict(float)
@@ -60,12 +60,12 @@
     per_destination: dict[int, list[float]] = defaultdict(lambda: [0.0, 0.0, 0.0, 0.0])
     ends: Counter[str] = Counter()
     ends_by_class: dict[str, Counter[str]] = defaultdict(Counter)
-    delays: dict[str, list[float]] = {kind.name: [] for kind in figures.classes}
+    delays: dict[str, list[float]] = {kind.name: [] for kind in parameters.classes}
 
     def count(
         first: records.Submitted | records.NeverSubmitted, result: str, delivered: float | None
     ) -> None:
-        kind = figures.classes[first.message_class]
+        kind = parameters.classes[first.message_class]
         began = first.due - kind.deadline_s  # when it was asked for, also where no node could be reached
         worth = 0.0 if delivered is None else delivery_value(kind, delivered - began)
         if delivered is not None:
@@ -83,9 +83,9 @@
         destination[2] += worth
         destination[3] += kind.worth
 
-    for missed in found.never_submitted:
+    for missed in index.never_submitted:
         count(missed, "none", None)
-    for submissions in found.by_chain.values():
+    for submissions in index.by_chain.values():
         delivered = min(
             (end.t for history in submissions for end in history.ended if end.result == "delivered"),
             default=None,
@@ -95,14 +95,14 @@
         count(submissions[0].submitted, "delivered" if delivered is not None else last, delivered)
     total = sum(asked.values())
     by_class = {name: earned[name] / asked[name] for name in asked}
-    messages, attempts = len(found.by_chain) + len(found.never_submitted), len(found.sent)
+    messages, attempts = len(index.by_chain) + len(index.never_submitted), len(index.sent)
     return RunScore(
         whole=sum(earned.values()) / total if total else 1.0,
-        worst_window=_worst_window(per_second, total, figures.duration),
+        worst_window=_worst_window(per_second, total, parameters.duration),
         worst_class=min(by_class.values(), default=1.0),
         by_class=by_class,
         ends=dict(sorted(ends.items())),
-        ends_by_class={name: dict(sorted(found_ends.items())) for name, found_ends in ends_by_class.items()},
+        ends_by_class={name: dict(sorted(results.items())) for name, results in ends_by_class.items()},
         asked=messages,
         attempts=attempts,
         waste=(attempts - ends["delivered"]) / messages if messages else 0.0,
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -16,35 +16,37 @@
 from tests.lab.support import small_world, trouble_toml
 
 
-class Wrong:
+class FaultyPolicy:
     """The decision module with its actions, or what it hears, spoilt in one way."""
 
-    def __init__(self, settings: api.Settings, seed: int, truth: Oracle) -> None:
+    def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         self.inner = Sender(settings, seed)
         self.settings = settings
 
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
-        heard = [event for event in map(self.hear, events) if event is not None]
-        return [changed for action in self.inner.turn(now, heard) for changed in self.do(now, action)]
+        altered = [event for event in map(self.alter_event, events) if event is not None]
+        return [
+            result for action in self.inner.turn(now, altered) for result in self.alter_action(now, action)
+        ]
 
-    def hear(self, event: api.Event) -> api.Event | None:
+    def alter_event(self, event: api.Event) -> api.Event | None:
         return event
 
-    def do(self, now: float, action: api.Action) -> list[api.Action]:
+    def alter_action(self, now: float, action: api.Action) -> list[api.Action]:
         return [action]
 
 
-class Forgets(Wrong):
+class NeverRefuses(FaultyPolicy):
     """Never gives an answer that is not delivery."""
 
-    def do(self, now: float, action: api.Action) -> list[api.Action]:
+    def alter_action(self, now: float, action: api.Action) -> list[api.Action]:
         return [] if isinstance(action, api.Refuse | api.Fail) else [action]
 
 
-class Repeats(Wrong):
+class AlwaysRetries(FaultyPolicy):
     """Takes whatever may have run for something that did not."""
 
-    def hear(self, event: api.Event) -> api.Event | None:
+    def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.AttemptEnded) and event.outcome is not api.Outcome.OK:
             return api.AttemptEnded(
                 event.message, event.endpoint, event.attempt, event.elapsed, event.final, api.Outcome.NOT_SENT
@@ -52,20 +54,20 @@
         return event
 
 
-class Stubborn(Wrong):
+class IgnoresDrains(FaultyPolicy):
     """Never hears of a drain."""
 
-    def hear(self, event: api.Event) -> api.Event | None:
+    def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.EndpointsUpdated):
-            stays = tuple(e for e in event.endpoints if e.state is api.EndpointState.READY)
-            return api.EndpointsUpdated(api.UpdateScope.DELTA, event.version, stays)
+            ready = tuple(e for e in event.endpoints if e.state is api.EndpointState.READY)
+            return api.EndpointsUpdated(api.UpdateScope.DELTA, event.version, ready)
         return event
 
 
-class Pushes(Wrong):
+class IgnoresFullDestinations(FaultyPolicy):
     """Hears of no failure, and so paces no return."""
 
-    def hear(self, event: api.Event) -> api.Event | None:
+    def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.FULL:
             return api.AttemptEnded(
                 event.message,
@@ -78,10 +80,10 @@
         return event
 
 
-class Overtakes(Wrong):
+class IgnoresOrder(FaultyPolicy):
     """Knows of no order."""
 
-    def hear(self, event: api.Event) -> api.Event | None:
+    def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.MessageReceived) and event.key is not None:
             return api.MessageReceived(
                 event.message,
@@ -93,10 +95,10 @@
         return event
 
 
-class Impatient(Wrong):
+class IgnoresRetryAfter(FaultyPolicy):
     """Hears no told wait."""
 
-    def hear(self, event: api.Event) -> api.Event | None:
+    def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.AttemptEnded) and event.retry_after:
             return api.AttemptEnded(
                 event.message,
@@ -113,59 +115,59 @@
 
 
 SILENT = trouble_toml("silent", at_s=3.0, for_s=4.0, share=1.0)
-CRASHES = trouble_toml("resets", at_s=2.0, for_s=8.0, share=1.0, strength=0.6)
+RESETS = trouble_toml("resets", at_s=2.0, for_s=8.0, share=1.0, strength=0.6)
 DRAINS = trouble_toml("replaced", at_s=2.0, for_s=1.0, share=1.0, endpoints=1)
 SHUT = trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=1.0)
-SHUT_UNTOLD = trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0)
+SHUT_WITHOUT_RETRY_AFTER = trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0)
 SLOW = trouble_toml("slow", at_s=2.0, for_s=8.0, share=1.0, strength=4.0)
 
 # What the node itself would withhold has to be unlearnt too, or a wrong module could not show.
-WITHHOLDS = {"drains": "_tell", "waits": "_waits_for"}
+NODE_CHECKS = {"drains": "_tell", "waits": "_waits_for"}
 
 
-def broken(
-    folder: Path, make: Callable[[api.Settings, int, Oracle], Policy], extra: str, **changes: Any
+def broken_rules(
+    folder: Path, factory: Callable[[api.Settings, int, Oracle], Policy], extra: str, **changes: Any
 ) -> dict[str, int]:
-    played = small_world(folder, extra, **changes)
-    found = rules.check(rules.build_index(play(played, make).ledger), parameters.audit_parameters(played))
+    world = small_world(folder, extra, **changes)
+    found = rules.check(rules.build_index(play(world, factory).ledger), parameters.audit_parameters(world))
     return {name: len(breaches) for name, breaches in found.items() if breaches}
 
 
 @pytest.mark.parametrize(
-    ("rule", "wrong", "extra", "changes"),
+    ("rule", "policy", "extra", "changes"),
     [
-        ("one answer", Forgets, SILENT, {}),
-        ("no effect twice", Repeats, CRASHES, {}),
+        ("one answer", NeverRefuses, SILENT, {}),
+        ("no effect twice", AlwaysRetries, RESETS, {}),
         (
             "not pushed over",
-            Pushes,
-            SHUT_UNTOLD,
+            IgnoresFullDestinations,
+            SHUT_WITHOUT_RETRY_AFTER,
             {
                 "traffic__rate": 120.0,
                 "kinds__0__cold": {"start": 0.1, "warm_s": 8.0, "tip_multiple": 1.2, "tip_s": 0.5},
             },
         ),
-        ("order", Overtakes, SLOW, {}),
+        ("order", IgnoresOrder, SLOW, {}),
     ],
 )
-def test_a_wrong_module_is_caught_by_its_rule_and_the_right_one_is_not(
-    tmp_path: Path, rule: str, wrong: type[Wrong], extra: str, changes: dict[str, Any]
+def test_a_faulty_policy_breaks_its_rule_and_the_decision_module_breaks_none(
+    tmp_path: Path, rule: str, policy: type[FaultyPolicy], extra: str, changes: dict[str, Any]
 ) -> None:
-    assert rule in broken(tmp_path, wrong, extra, **changes)
-    assert broken(tmp_path, decision_module, extra, **changes) == {}
+    assert rule in broken_rules(tmp_path, policy, extra, **changes)
+    assert broken_rules(tmp_path, decision_module, extra, **changes) == {}
 
 
 @pytest.mark.parametrize(
-    ("rule", "wrong", "extra"), [("drains", Stubborn, DRAINS), ("waits", Impatient, SHUT)]
+    ("rule", "policy", "extra"), [("drains", IgnoresDrains, DRAINS), ("waits", IgnoresRetryAfter, SHUT)]
 )
-def test_a_wrong_node_that_withholds_nothing_is_caught(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rule: str, wrong: type[Wrong], extra: str
+def test_a_faulty_policy_in_a_node_without_its_own_checks_breaks_its_rule(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rule: str, policy: type[FaultyPolicy], extra: str
 ) -> None:
-    assert broken(tmp_path, decision_module, extra) == {}
-    assert broken(tmp_path, wrong, extra) == {}  # the node's own guard holds
+    assert broken_rules(tmp_path, decision_module, extra) == {}
+    assert broken_rules(tmp_path, policy, extra) == {}  # the node's own guard holds
     from irisstack.lab.virtual import node
 
-    real = node.Node._leave
+    original = node.Node._leave
 
     def leave(self: node.Node, now: float, call: node.OutCall) -> None:
         listed, self._listed = (
@@ -176,19 +178,19 @@
                 )
             },
         )
-        held, self._held = self._held, {}
-        real(self, now, call)
-        self._listed, self._held = listed, held
+        waits, self._held = self._held, {}
+        original(self, now, call)
+        self._listed, self._held = listed, waits
 
     monkeypatch.setattr(node.Node, "_leave", leave)
-    assert rule in broken(tmp_path, wrong, extra)
+    assert rule in broken_rules(tmp_path, policy, extra)
 
 
-HANDED = records.Submitted(0.0, 0, 1, 1, 1, 1, 8.0)
+SUBMITTED = records.Submitted(0.0, 0, 1, 1, 1, 1, 8.0)
 
 
 @pytest.mark.parametrize(
-    ("rule", "planted"),
+    ("rule", "entries"),
     [
         ("one answer", [records.Ended(1.0, 0, 1, "refused"), records.Ended(2.0, 0, 1, "failed")]),
         ("one answer", [records.Ended(9.0, 0, 1, "failed")]),
@@ -221,15 +223,17 @@
         ),
     ],
 )
-def test_planted_records(tmp_path: Path, rule: str, planted: list[records.Entry]) -> None:
+def test_each_rule_reports_ledger_entries_that_break_it(
+    tmp_path: Path, rule: str, entries: list[records.Entry]
+) -> None:
     found = rules.check(
-        rules.build_index([HANDED, *planted]), parameters.audit_parameters(small_world(tmp_path))
+        rules.build_index([SUBMITTED, *entries]), parameters.audit_parameters(small_world(tmp_path))
     )
     assert {name for name, breaches in found.items() if breaches} == {rule}
 
 
 @pytest.mark.parametrize(
-    "planted",
+    "entries",
     [
         [
             records.Accepted(0.0, 0, 1),
@@ -249,9 +253,11 @@
         ],
     ],
 )
-def test_a_restart_excuses_what_it_must(tmp_path: Path, planted: list[records.Entry]) -> None:
+def test_a_restart_delays_or_cancels_what_a_node_has_to_do(
+    tmp_path: Path, entries: list[records.Entry]
+) -> None:
     found = rules.check(
-        rules.build_index([HANDED, *planted]), parameters.audit_parameters(small_world(tmp_path))
+        rules.build_index([SUBMITTED, *entries]), parameters.audit_parameters(small_world(tmp_path))
     )
     assert not any(found.values())
 
@@ -260,7 +266,7 @@
     ("message_class", "verdict", "broken"),
     [(0, "ok", {"one answer"}), (0, "crossed", set()), (1, "crossed", {"no effect twice"})],
 )
-def test_an_answer_that_crosses_a_giving_up_need_not_have_been_heard(
+def test_an_answer_that_crosses_a_cancellation_may_be_unread(
     tmp_path: Path, message_class: int, verdict: records.Verdict, broken: set[str]
 ) -> None:
     found = rules.check(
@@ -279,7 +285,7 @@
     assert {name for name, breaches in found.items() if breaches} == broken
 
 
-def test_worth_falls_from_the_aim_to_the_deadline(tmp_path: Path) -> None:
+def test_worth_falls_from_the_latency_target_to_the_deadline(tmp_path: Path) -> None:
     notice = small_world(tmp_path).scenario.classes[0]
     assert [scoring.delivery_value(notice, delay) for delay in (0.5, 1.0, 4.5, 8.0, 8.1)] == [
         1.0,
@@ -290,18 +296,18 @@
     ]
 
 
-def test_a_retry_belongs_to_its_first_try_and_an_unreached_node_counts(tmp_path: Path) -> None:
-    again = records.Submitted(1.0, 0, 2, 1, 1, 1, 8.0)
-    got = scoring.score(
+def test_retries_count_as_one_message_and_never_submitted_messages_count(tmp_path: Path) -> None:
+    retry = records.Submitted(1.0, 0, 2, 1, 1, 1, 8.0)
+    result = scoring.score(
         rules.build_index(
             [
-                HANDED,
+                SUBMITTED,
                 records.Ended(0.5, 0, 1, "refused"),
-                again,
+                retry,
                 records.Ended(1.5, 0, 2, "delivered"),
                 records.NeverSubmitted(8.0, 3, 1, 1, 8.0),
             ]
         ),
         parameters.audit_parameters(small_world(tmp_path)),
     )
-    assert (got.asked, got.ends, got.whole) == (2, {"delivered": 1, "none": 1}, 0.5)
+    assert (result.asked, result.ends, result.whole) == (2, {"delivered": 1, "none": 1}, 0.5)
