--- a/irisstack/lab/audit/parameters.py
+++ b/irisstack/lab/audit/parameters.py
@@ -1,4 +1,4 @@
-"""The figures that a run is audited by."""
+"""The parameters of an audit."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AuditParameters:
-    """What the rules and the worth of a run go by; times in seconds."""
+    """Parameters of the rules and of the score; times in seconds."""
 
     classes: tuple[MessageClass, ...]
     duration: float
@@ -17,15 +17,15 @@
     order_pause: float
     wait_slack: float
     overload_windows: dict[int, float]
-    """For each destination: over how long its load before a fall is looked at."""
+    """By destination: length of the period before an overload whose calls are counted as its load."""
     separate_routes: frozenset[int]
-    """Destinations whose endpoints are routes of their own."""
+    """Destinations each of whose endpoints is a route of its own."""
     restart_slack: float = 1.5
-    """After a node is ready again, the time in which nothing that it owes is overdue."""
+    """Time after a node's restart within which no final result is overdue."""
 
 
 def audit_parameters(world: World) -> AuditParameters:
-    """The figures of a scenario's world."""
+    """The audit parameters of a world."""
     rules = world.scenario.rules
     return AuditParameters(
         tuple(world.scenario.classes),
--- a/irisstack/lab/audit/rules.py
+++ b/irisstack/lab/audit/rules.py
@@ -1,6 +1,7 @@
-"""The six rules as pure functions over a ledger. Each returns what broke it, in order of time.
+"""The six rules, as pure functions over a ledger. Each returns its breaches, in order of time.
 
-They know nothing of how a node decides: what a node did is held against what it was told and what was seen.
+The rules know nothing of how a node decides: they compare what a node did with what it had been told and with
+what was observed.
 """
 
 from bisect import bisect_left
@@ -12,14 +13,14 @@
 from irisstack.lab.audit.parameters import AuditParameters
 
 AWARE_LOAD_SHARE = 2.0 / 3.0
-"""Of the load that pushed a destination over: from this part on it is the fault of nodes that knew better."""
+"""An overload is a breach if at least this share of the load came from nodes that knew of the outage."""
 EPSILON = 1e-6
-"""Seconds by which two records of one moment may differ."""
+"""Seconds by which two records of the same moment may differ."""
 
 
 @dataclass(slots=True, frozen=True)
 class Breach:
-    """One breaking of a rule."""
+    """One breach of a rule."""
 
     rule: str
     t: float
@@ -90,11 +91,11 @@
     return index
 
 
-# ---- 1: one final answer in time, and nothing sent after it ----
+# ---- 1: one final answer in time, and no call after it ----
 
 
 def check_final_answers(index: Index, parameters: AuditParameters) -> list[Breach]:
-    """Each message handed to a running node ends once, in time, and nothing is sent for it afterwards."""
+    """Each message submitted to a running node gets one final result, in time, and is not sent afterwards."""
     breaches = []
 
     def broken(t: float, history: SubmissionHistory, text: str) -> None:
@@ -103,7 +104,7 @@
     for history in index.submissions.values():
         submitted = history.submitted
         if any(end.result == "unheard" for end in history.ended):
-            continue  # its client left unseen: what is done under this number counts for nothing
+            continue  # its client has left, perhaps unnoticed: this submission does not count
         states = index.states.get(submitted.node, [])
         if len(history.ended) > 1:
             broken(history.ended[1].t, history, f"ended {len(history.ended)} times")
@@ -118,7 +119,7 @@
                     f"ended {history.ended[0].t - submitted.due:.3f} s after its time",
                 )
         if any(answer.verdict == "crossed" for answer in history.answered):
-            continue  # delivered, but its node need not have heard so: what it sent then is for the next rule
+            continue  # the node may not have read the answer; rule 2 covers what it sends afterwards
         if history.ended and history.sent and history.sent[-1].t > history.ended[0].t + EPSILON:
             broken(
                 history.sent[-1].t,
@@ -131,7 +132,7 @@
 def _latest_final_result(
     history: SubmissionHistory, states: Sequence[records.NodeState], parameters: AuditParameters
 ) -> float | None:
-    """When the message's end is due; `None` if its node no longer owes one."""
+    """Latest time of the message's final result; `None` if its node no longer has to give one."""
     latest = history.submitted.due + parameters.answer_slack
     down: float | None = None
     for state in states:
@@ -142,7 +143,7 @@
         if state.state in ("stopping", "killed") and down is None:
             down = state.t
         if state.state == "killed" and history.accepted_at is None and state.t <= latest:
-            return None  # never on record: its client hands it in once more
+            return None  # never accepted: its client submits it again
         if state.state == "ready" and down is not None:
             if down <= latest:
                 latest = max(latest, state.t + parameters.restart_slack)
@@ -154,13 +155,13 @@
 
 
 def check_effects(index: Index, parameters: AuditParameters) -> list[Breach]:
-    """What may have run goes again, or is refused, only where that cannot double its effect."""
+    """A message that may have run is sent again or refused only where that cannot double its effect."""
     breaches = []
     for history in index.submissions.values():
         kind = parameters.classes[history.submitted.message_class]
         if kind.repeat == "safe":
             continue
-        # In order of time; at one moment an attempt's end comes before the next sending.
+        # In order of time; at the same time the end of an attempt precedes the next one.
         events = sorted(
             [
                 *((a.t, 0, a) for a in history.answered),
@@ -213,7 +214,7 @@
 
 
 def count_duplicate_effects(index: Index, parameters: AuditParameters) -> int:
-    """Messages that took effect more than once, whoever is at fault (those safe to repeat aside)."""
+    """Messages that took effect more than once, whoever is at fault; not for classes safe to repeat."""
     effects: dict[int, int] = defaultdict(int)
     for execution in index.executed:
         effects[execution.chain] += execution.effect
@@ -228,7 +229,7 @@
 
 
 def check_drains(index: Index, parameters: AuditParameters) -> list[Breach]:
-    """Nothing new goes to an endpoint once its node knows, and the grace is over."""
+    """A node sends no call to an endpoint whose drain it knows of for longer than the grace period."""
     state_changes: dict[tuple[int, int], list[tuple[float, bool]]] = defaultdict(list)
     for announcement in index.announced:
         state_changes[announcement.node, announcement.endpoint].append(
@@ -257,11 +258,11 @@
     return breaches
 
 
-# ---- 4: a destination that returns is not pushed over ----
+# ---- 4: a recovering destination is not overloaded ----
 
 
 def check_overloads(index: Index, parameters: AuditParameters) -> list[Breach]:
-    """No fall for which two thirds of the load came from nodes that had seen the outage."""
+    """No overload for which two thirds of the load came from nodes that had seen the outage."""
     sent_to: dict[int, list[records.Sent]] = defaultdict(list)
     for sent in index.sent:
         sent_to[sent.destination].append(sent)
@@ -306,7 +307,7 @@
 
 
 def check_order(index: Index, parameters: AuditParameters) -> list[Breach]:
-    """In a class that asks for it, a node's messages of one key go one at a time, in the order handed in."""
+    """In an ordered class, a node sends the messages of one key one at a time, in order of submission."""
     by_key: dict[tuple[int, int], list[SubmissionHistory]] = defaultdict(list)
     for history in index.submissions.values():
         if history.submitted.order_key >= 0:
@@ -342,11 +343,11 @@
     return free_at
 
 
-# ---- 6: told waits ----
+# ---- 6: Retry-After ----
 
 
 def check_retry_after(index: Index, parameters: AuditParameters) -> list[Breach]:
-    """After a told wait its node sends nothing there until the wait is over."""
+    """After a Retry-After a node sends no call to the destination, or route, until the wait is over."""
     waits: dict[tuple[int, int, int], list[tuple[float, float]]] = defaultdict(list)
     seen: set[tuple[int, int, float, float]] = set()
     for answer in index.answered:
@@ -391,5 +392,5 @@
 
 
 def check(index: Index, parameters: AuditParameters) -> dict[str, list[Breach]]:
-    """Every rule with what broke it."""
+    """The breaches of each rule."""
     return {name: rule(index, parameters) for name, rule in RULES.items()}
--- a/irisstack/lab/audit/scoring.py
+++ b/irisstack/lab/audit/scoring.py
@@ -1,4 +1,4 @@
-"""Scores a run from its ledger alone: the worth of what was delivered, and the attempts that it took."""
+"""Scores a run from its ledger alone: the worth of the delivered messages, and the attempts made."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
@@ -9,41 +9,41 @@
 from irisstack.lab.scenario import MessageClass
 
 WINDOW = 10.0
-"""Length in seconds of the windows among which the worst is sought."""
+"""Length in seconds of the windows of which the worst is scored."""
 MIN_WINDOW_SHARE = 0.02
-"""A window with less than this share of all worth asked for cannot be the worst."""
+"""Windows with at most this share of the worth of all messages are not scored."""
 
 
 @dataclass(slots=True)
 class RunScore:
-    """A run in figures; each worth is a share of what was asked for, from 0 to 1."""
+    """The score of a run; each worth is a share of the worth of the submitted messages, from 0 to 1."""
 
     whole: float
     worst_window: float
     worst_class: float
     by_class: dict[str, float]
     ends: dict[str, int]
-    """Messages by their last result: delivered, refused, failed, withdrawn, none."""
+    """Number of messages by final result: delivered, refused, failed, withdrawn, none."""
     ends_by_class: dict[str, dict[str, int]]
     asked: int
     attempts: int
     waste: float
-    """Attempts that delivered nothing, for each message asked for."""
+    """Attempts that delivered nothing, divided by the number of messages."""
     delays: dict[str, list[float]] = field(default_factory=dict)
-    """Seconds from when a message was first handed in until it was delivered, by class."""
+    """Seconds from the first submission of each delivered message to its delivery, by class."""
     over_time: list[tuple[float, float]] = field(default_factory=list)
-    """Worth of the messages handed in within each second: (second, share)."""
+    """Worth of the messages first submitted in each second: (second, share)."""
     by_destination: dict[int, tuple[int, int, float]] = field(default_factory=dict)
-    """Messages, delivered ones, and worth, for each destination."""
+    """By destination: messages, delivered messages, and worth."""
 
     @property
     def score(self) -> float:
-        """One figure: half the whole run, a quarter the worst window, a quarter the worst class."""
+        """The weighted worth: half for the whole run, a quarter each for the worst window and class."""
         return 0.5 * self.whole + 0.25 * self.worst_window + 0.25 * self.worst_class
 
 
 def delivery_value(kind: MessageClass, delay: float) -> float:
-    """The worth of a delivery after that many seconds: falls linearly from the aim to the deadline."""
+    """Worth of a delivery after `delay` seconds; falls linearly from the latency target to the deadline."""
     if delay <= kind.aim_s:
         return kind.worth
     if delay > kind.deadline_s:
@@ -66,7 +66,7 @@
         first: records.Submitted | records.NeverSubmitted, result: str, delivered: float | None
     ) -> None:
         kind = parameters.classes[first.message_class]
-        began = first.due - kind.deadline_s  # when it was asked for, also where no node could be reached
+        began = first.due - kind.deadline_s  # first submission, even if no node was reached
         worth = 0.0 if delivered is None else delivery_value(kind, delivered - began)
         if delivered is not None:
             delays[kind.name].append(delivered - began)
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,4 +1,4 @@
-"""Every rule has a node that breaks just it, and the auditor must say so; a good module breaks none."""
+"""The audit rules: each reports a policy that breaks it, and none reports the decision module."""
 
 from collections.abc import Callable, Collection
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class FaultyPolicy:
-    """The decision module with its actions, or what it hears, spoilt in one way."""
+    """The decision module with its events or its actions altered to break one rule."""
 
     def __init__(self, settings: api.Settings, seed: int, oracle: Oracle) -> None:
         self.inner = Sender(settings, seed)
@@ -37,14 +37,14 @@
 
 
 class NeverRefuses(FaultyPolicy):
-    """Never gives an answer that is not delivery."""
+    """Drops every refusal and failure, so that undelivered messages get no final answer."""
 
     def alter_action(self, now: float, action: api.Action) -> list[api.Action]:
         return [] if isinstance(action, api.Refuse | api.Fail) else [action]
 
 
 class AlwaysRetries(FaultyPolicy):
-    """Takes whatever may have run for something that did not."""
+    """Treats every failed attempt as one that did not run, and so repeats it."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.AttemptEnded) and event.outcome is not api.Outcome.OK:
@@ -55,7 +55,7 @@
 
 
 class IgnoresDrains(FaultyPolicy):
-    """Never hears of a drain."""
+    """Does not see that endpoints drain."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.EndpointsUpdated):
@@ -65,7 +65,7 @@
 
 
 class IgnoresFullDestinations(FaultyPolicy):
-    """Hears of no failure, and so paces no return."""
+    """Does not see that a destination refuses calls, and so does not limit its load during recovery."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.FULL:
@@ -81,7 +81,7 @@
 
 
 class IgnoresOrder(FaultyPolicy):
-    """Knows of no order."""
+    """Does not see ordering keys."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.MessageReceived) and event.key is not None:
@@ -96,7 +96,7 @@
 
 
 class IgnoresRetryAfter(FaultyPolicy):
-    """Hears no told wait."""
+    """Does not see Retry-After."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         if isinstance(event, api.AttemptEnded) and event.retry_after:
@@ -121,7 +121,7 @@
 SHUT_WITHOUT_RETRY_AFTER = trouble_toml("shut", at_s=3.0, for_s=4.0, share=1.0, tells_wait=0.0)
 SLOW = trouble_toml("slow", at_s=2.0, for_s=8.0, share=1.0, strength=4.0)
 
-# What the node itself would withhold has to be unlearnt too, or a wrong module could not show.
+# The node itself withholds such calls: without these checks removed, no policy could break the rules.
 NODE_CHECKS = {"drains": "_tell", "waits": "_waits_for"}
 
 
@@ -164,7 +164,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, rule: str, policy: type[FaultyPolicy], extra: str
 ) -> None:
     assert broken_rules(tmp_path, decision_module, extra) == {}
-    assert broken_rules(tmp_path, policy, extra) == {}  # the node's own guard holds
+    assert broken_rules(tmp_path, policy, extra) == {}  # the node itself withholds the calls
     from irisstack.lab.virtual import node
 
     original = node.Node._leave
