--- a/irisstack/lab/charts.py
+++ b/irisstack/lab/charts.py
@@ -29,9 +29,9 @@
 
 def time_series_chart(
     lines: Mapping[str, Sequence[tuple[float, float]]],
-    what: str,
+    y_label: str,
     spans: Sequence[tuple[float, float, str]] = (),
-    top: float | None = None,
+    y_max: float | None = None,
 ) -> str:
     """Lines over the seconds of a run, with the times of troubles shaded."""
     figure, axes = _axes()
@@ -40,14 +40,14 @@
     for name, points in lines.items():
         axes.plot([t for t, _ in points], [value for _, value in points], label=name, lw=1.2)
     axes.set_xlabel("seconds")
-    axes.set_ylabel(what)
-    axes.set_ylim(bottom=0.0, top=top)
+    axes.set_ylabel(y_label)
+    axes.set_ylim(bottom=0.0, top=y_max)
     if len(lines) > 1:
         axes.legend(frameon=False)
     return _svg(figure)
 
 
-def interval_chart(rows: Mapping[str, Mapping[str, tuple[float, float, float]]], what: str) -> str:
+def interval_chart(rows: Mapping[str, Mapping[str, tuple[float, float, float]]], x_label: str) -> str:
     """For each group a point with its interval for each variant: (low, middle, high)."""
     groups = list(rows)
     figure, axes = _axes((8.0, 1.0 + 0.5 * len(groups)))
@@ -64,22 +64,22 @@
         axes.errorbar(xs, ys, xerr=[lows, highs], fmt="o", ms=4.0, capsize=2.0, label=variant)
     axes.set_yticks(range(len(groups)), groups)
     axes.invert_yaxis()
-    axes.set_xlabel(what)
+    axes.set_xlabel(x_label)
     axes.legend(frameon=False, loc="center left", bbox_to_anchor=(1.0, 0.5))
     return _svg(figure)
 
 
 def curve_chart(
-    lines: Mapping[str, Sequence[tuple[float, float]]], x: str, y: str, *, log_x: bool = False
+    lines: Mapping[str, Sequence[tuple[float, float]]], x_label: str, y_label: str, *, log_x: bool = False
 ) -> str:
     """Curves over any quantity."""
     figure, axes = _axes((6.0, 3.0))
     for name, points in lines.items():
-        axes.plot([a for a, _ in points], [b for _, b in points], marker="o", ms=3.0, label=name)
+        axes.plot([x for x, _ in points], [y for _, y in points], marker="o", ms=3.0, label=name)
     if log_x:
         axes.set_xscale("log")
-    axes.set_xlabel(x)
-    axes.set_ylabel(y)
+    axes.set_xlabel(x_label)
+    axes.set_ylabel(y_label)
     axes.set_ylim(bottom=0.0)
     if len(lines) > 1:
         axes.legend(frameon=False)
--- a/irisstack/lab/compare.py
+++ b/irisstack/lab/compare.py
@@ -59,17 +59,19 @@
     """Every scenario and metric that both have, paired by seed."""
     by_seed_a = {(run.scenario, run.seed): run for run in a}
     by_seed_b = {(run.scenario, run.seed): run for run in b}
-    both = [key for key in by_seed_a if key in by_seed_b]
+    common = [key for key in by_seed_a if key in by_seed_b]
     found = []
-    for scenario in dict.fromkeys(name for name, _ in both):
-        keys = [key for key in both if key[0] == scenario]
+    for scenario in dict.fromkeys(name for name, _ in common):
+        keys = [key for key in common if key[0] == scenario]
         for metric in metrics:
-            left = [float(getattr(by_seed_a[key], metric)) for key in keys]
-            right = [float(getattr(by_seed_b[key], metric)) for key in keys]
-            low, high = bootstrap_interval([y - x for x, y in zip(left, right, strict=True)])
+            values_a = [float(getattr(by_seed_a[key], metric)) for key in keys]
+            values_b = [float(getattr(by_seed_b[key], metric)) for key in keys]
+            low, high = bootstrap_interval(
+                [value_b - value_a for value_a, value_b in zip(values_a, values_b, strict=True)]
+            )
             found.append(
                 Difference(
-                    scenario, metric, len(keys), float(np.mean(left)), float(np.mean(right)), low, high
+                    scenario, metric, len(keys), float(np.mean(values_a)), float(np.mean(values_b)), low, high
                 )
             )
     return found
--- a/irisstack/lab/experiment.py
+++ b/irisstack/lab/experiment.py
@@ -54,7 +54,7 @@
 
     @field_validator("variants")
     @classmethod
-    def _named_once(cls, value: list[Variant]) -> list[Variant]:
+    def _check_unique_names(cls, value: list[Variant]) -> list[Variant]:
         names = [variant.name for variant in value]
         for name in names:
             if names.count(name) > 1:
@@ -84,31 +84,31 @@
 
 def build_jobs(experiment: Experiment, path: Path) -> list[Job]:
     """All runs, seed by seed, so that an interrupted sweep has whole pairs; raises `DocumentError`."""
-    found: list[tuple[Scenario, Variant, str]] = []
-    names: set[str] = set()
+    configurations: list[tuple[Scenario, Variant, str]] = []
+    scenario_names: set[str] = set()
     for name in experiment.experiment.scenarios:
-        place = scenario_path(name)
-        scenario = read_scenario(place if place.is_absolute() else path.parent / place)
-        if scenario.scenario.name in names:
+        location = scenario_path(name)
+        scenario = read_scenario(location if location.is_absolute() else path.parent / location)
+        if scenario.scenario.name in scenario_names:
             raise DocumentError(path, [Problem("experiment.scenarios", f"{name!r} stands twice")])
-        names.add(scenario.scenario.name)
+        scenario_names.add(scenario.scenario.name)
         for variant in experiment.variants:
-            other = with_changes(scenario, variant.set, path) if variant.set else scenario
-            found.append((other, variant, fingerprint(other, variant.policy)))
+            variant_scenario = with_changes(scenario, variant.set, path) if variant.set else scenario
+            configurations.append((variant_scenario, variant, fingerprint(variant_scenario, variant.policy)))
     return [
-        Job(scenario, variant.name, variant.policy, seed, mark)
+        Job(scenario, variant.name, variant.policy, seed, scenario_fingerprint)
         for seed in range(1, experiment.experiment.seeds + 1)
-        for scenario, variant, mark in found
+        for scenario, variant, scenario_fingerprint in configurations
     ]
 
 
 def fingerprint(scenario: Scenario, policy: str) -> str:
     """Runs with the same one were asked for by the same words."""
-    words = json.dumps([scenario.model_dump(), policy], sort_keys=True)
-    return hashlib.sha256(words.encode()).hexdigest()[:16]
+    text = json.dumps([scenario.model_dump(), policy], sort_keys=True)
+    return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
-def play_job(job: Job) -> Run:
+def run_job(job: Job) -> Run:
     """Play one run in virtual time."""
     world = build_world(job.scenario, job.seed)
     played = play(world, POLICIES[job.policy])
@@ -130,65 +130,65 @@
     """The runs in a file of results; a last line that was cut off by a kill is passed over."""
     if not path.exists():
         return []
-    found: list[Run] = []
+    runs: list[Run] = []
     decoder: msgspec.json.Decoder[Run] = msgspec.json.Decoder(Run)
     lines = path.read_bytes().split(b"\n")
     for number, line in enumerate(lines, 1):
         if not line:
             continue
         try:
-            found.append(decoder.decode(line))
+            runs.append(decoder.decode(line))
         except msgspec.MsgspecError as error:
             if number < len(lines):
                 raise ValueError(f"{path}:{number}: {error}") from None
-    return found
+    return runs
 
 
 def sweep(
-    work: list[Job],
+    jobs: list[Job],
     path: Path,
     workers: int | None = None,
-    progress: Callable[[int, int], None] = lambda done, of: None,
+    progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> Iterator[Run]:
     """Play what a file of results lacks, and append each run to it as it ends."""
-    have = {(run.scenario, run.variant, run.seed, run.fingerprint): run for run in load_runs(path)}
-    todo = [job for job in work if job.key not in have]
-    done = len(work) - len(todo)
-    progress(done, len(work))
-    yield from (have[job.key] for job in work if job.key in have)
-    if not todo:
+    existing = {(run.scenario, run.variant, run.seed, run.fingerprint): run for run in load_runs(path)}
+    missing = [job for job in jobs if job.key not in existing]
+    done = len(jobs) - len(missing)
+    progress(done, len(jobs))
+    yield from (existing[job.key] for job in jobs if job.key in existing)
+    if not missing:
         return
     path.parent.mkdir(parents=True, exist_ok=True)
-    _end_line(path)
+    _remove_partial_line(path)
     pool = ProcessPoolExecutor(
-        workers or os.cpu_count(), multiprocessing.get_context("spawn"), _ignore_interrupt
+        workers or os.cpu_count(), multiprocessing.get_context("spawn"), _ignore_sigint
     )
     encoder = msgspec.json.Encoder()
-    waiting: set[Future[Run]] = set()
+    pending: set[Future[Run]] = set()
     try:
         with path.open("ab", buffering=0) as file:
-            waiting = {pool.submit(play_job, job) for job in todo}
-            while waiting:
-                ended, waiting = wait(waiting, return_when=FIRST_COMPLETED)
-                for future in ended:
+            pending = {pool.submit(run_job, job) for job in missing}
+            while pending:
+                completed, pending = wait(pending, return_when=FIRST_COMPLETED)
+                for future in completed:
                     run = future.result()
                     file.write(encoder.encode(run) + b"\n")
                     done += 1
-                    progress(done, len(work))
+                    progress(done, len(jobs))
                     yield run
     finally:
         pool.shutdown(wait=True, cancel_futures=True)
 
 
-def _end_line(path: Path) -> None:
+def _remove_partial_line(path: Path) -> None:
     """Cut off half a line that a killed sweep has left."""
     if path.exists():
         data = path.read_bytes()
-        whole = data[: data.rfind(b"\n") + 1]
-        if whole != data:
-            path.write_bytes(whole)
+        complete = data[: data.rfind(b"\n") + 1]
+        if complete != data:
+            path.write_bytes(complete)
 
 
-def _ignore_interrupt() -> None:
+def _ignore_sigint() -> None:
     """Ctrl-C ends the sweep by its parent; a worker brings its run to an end."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/irisstack/lab/ledger.py
+++ b/irisstack/lab/ledger.py
@@ -142,7 +142,7 @@
     """Write a ledger atomically, compressed where the name ends with `.gz`; raises `OSError`."""
     partial = path.with_name(path.name + ".part")
     encoder = msgspec.json.Encoder()
-    with _open(partial, "wb", packed=path.suffix == ".gz") as file:
+    with _open(partial, "wb", compressed=path.suffix == ".gz") as file:
         for entry in ledger:
             file.write(encoder.encode(entry) + b"\n")
     partial.replace(path)
@@ -157,20 +157,20 @@
 def read(path: Path) -> Ledger:
     """Read a whole ledger; raises `OSError`, or `ValueError` with the number of the line at fault."""
     decoder: msgspec.json.Decoder[Entry] = msgspec.json.Decoder(Entry)
-    found: Ledger = []
-    with _open(path, "rb", packed=path.suffix == ".gz") as file:
+    ledger: Ledger = []
+    with _open(path, "rb", compressed=path.suffix == ".gz") as file:
         for number, line in enumerate(file, 1):
             try:
-                found.append(decoder.decode(line))
+                ledger.append(decoder.decode(line))
             except msgspec.MsgspecError as error:
                 raise ValueError(f"{path}:{number}: {error}") from None
-    return found
+    return ledger
 
 
 @contextmanager
-def _open(path: Path, mode: Literal["rb", "wb"], *, packed: bool) -> Iterator[IO[bytes]]:
+def _open(path: Path, mode: Literal["rb", "wb"], *, compressed: bool) -> Iterator[IO[bytes]]:
     with path.open(mode) as raw:
-        if not packed:
+        if not compressed:
             yield raw
             return
         # No name and no time in the head: the same ledger is the same file.
--- a/irisstack/lab/report.py
+++ b/irisstack/lab/report.py
@@ -15,10 +15,10 @@
 from irisstack.lab.results import PERCENTILES, Run
 from irisstack.lab.world import World
 
-MOST_ROWS = 40
+MAX_DESTINATION_ROWS = 40
 """Destinations in the table: the worst-served of many."""
 
-MOST_BREACHES = 20
+MAX_BREACH_ROWS = 20
 """Breaches of each rule in the table."""
 
 
@@ -39,10 +39,12 @@
 ) -> PageSection:
     """A section with a table; numbers stand to the right."""
     numeric = {i for i in range(len(columns)) if any(isinstance(row[i], int | float) for row in rows)}
-    return PageSection(title, note, svg, columns, [[_text(value) for value in row] for row in rows], numeric)
+    return PageSection(
+        title, note, svg, columns, [[_format_cell(value) for value in row] for row in rows], numeric
+    )
 
 
-def _text(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
@@ -63,8 +65,8 @@
         lines.append(("bad", "Partial: the run was interrupted; the figures cover the time until then."))
     broken = {name: count for name, count in run.breaches.items() if count}
     if broken:
-        told = ", ".join(f"{name} ({count})" for name, count in broken.items())
-        lines.append(("bad", f"Rules broken: {told}. A run that breaks a rule counts for nothing."))
+        rules_text = ", ".join(f"{name} ({count})" for name, count in broken.items())
+        lines.append(("bad", f"Rules broken: {rules_text}. A run that breaks a rule counts for nothing."))
     else:
         lines.append(("good", "All six rules were kept."))
     lines.append(
@@ -82,22 +84,22 @@
 ) -> str:
     """The page of one run."""
     spans = [(i.starts_at, i.ends_at, i.trouble.kind) for i in world.incidents]
-    ends = [
-        [name, *(count.get(result, 0) for result in RESULTS), run.by_class[name]]
+    result_rows = [
+        [name, *(count.get(result, 0) for result in RESULT_COLUMNS), run.by_class[name]]
         for name, count in run.ends_by_class.items()
     ]
     sections = [
         table_section(
             "What became of the messages",
-            ["class", *RESULTS, "worth"],
-            ends,
+            ["class", *RESULT_COLUMNS, "worth"],
+            result_rows,
             f"{run.asked} messages, {run.attempts} attempts, {run.waste:.3f} attempts in vain for each.",
         ),
         table_section(
             "Troubles",
             ["what", "from s", "to s", "strikes"],
             [
-                [i.trouble.kind, i.starts_at, i.ends_at, _struck(i.destinations, i.nodes)]
+                [i.trouble.kind, i.starts_at, i.ends_at, _affected_text(i.destinations, i.nodes)]
                 for i in world.incidents
             ],
         ),
@@ -109,9 +111,11 @@
         PageSection(
             "Messages under way",
             "Owed by the nodes, and of these in calls.",
-            charts.time_series_chart(_under_way(entries), "messages", spans),
+            charts.time_series_chart(_open_messages(entries), "messages", spans),
+        ),
+        PageSection(
+            "Ends each second", "", charts.time_series_chart(_results_per_second(entries), "a second", spans)
         ),
-        PageSection("Ends each second", "", charts.time_series_chart(_ends(entries), "a second", spans)),
         table_section(
             "Seconds until delivery",
             ["class", *(f"{p:g} %" for p in PERCENTILES)],
@@ -125,40 +129,40 @@
             [
                 [b.rule, b.t, b.node, b.message, b.text]
                 for broken in breaches.values()
-                for b in broken[:MOST_BREACHES]
+                for b in broken[:MAX_BREACH_ROWS]
             ],
-            f"The first {MOST_BREACHES} of each rule; the ledger has all.",
+            f"The first {MAX_BREACH_ROWS} of each rule; the ledger has all.",
         ),
         table_section(
             "Destinations",
             ["number", "kind", "messages", "delivered", "worth"],
-            _destinations(world, score),
-            f"The {MOST_ROWS} with the least worth, where there are more.",
+            _destination_rows(world, score),
+            f"The {MAX_DESTINATION_ROWS} with the least worth, where there are more.",
         ),
         table_section("Made with", ["what", "version"], [*run.versions.items(), ("seed", str(run.seed))]),
     ]
     name = f"{run.scenario}: {run.policy}, {'virtual time' if run.way == 'model' else 'real sockets'}"
-    kept = [section for section in sections if section.svg or section.rows]
-    return render_page(name, world.scenario.scenario.shows, run_verdicts(run), kept)
+    nonempty = [section for section in sections if section.svg or section.rows]
+    return render_page(name, world.scenario.scenario.shows, run_verdicts(run), nonempty)
 
 
-RESULTS = ("delivered", "refused", "failed", "withdrawn", "none")
+RESULT_COLUMNS = ("delivered", "refused", "failed", "withdrawn", "none")
 
 
-def _struck(destinations: Sequence[int], nodes: Sequence[int]) -> str:
-    what, numbers = ("nodes", nodes) if nodes else ("destinations", destinations)
+def _affected_text(destinations: Sequence[int], nodes: Sequence[int]) -> str:
+    kind, numbers = ("nodes", nodes) if nodes else ("destinations", destinations)
     if not numbers:
         return "the list"
     shown = ", ".join(str(number) for number in numbers[:8])
-    return f"{what} {shown}" + (f" and {len(numbers) - 8} more" if len(numbers) > 8 else "")
+    return f"{kind} {shown}" + (f" and {len(numbers) - 8} more" if len(numbers) > 8 else "")
 
 
-def _destinations(world: World, score: RunScore) -> list[list[Any]]:
-    rows = sorted(score.by_destination.items(), key=lambda item: item[1][2])[:MOST_ROWS]
+def _destination_rows(world: World, score: RunScore) -> list[list[Any]]:
+    rows = sorted(score.by_destination.items(), key=lambda item: item[1][2])[:MAX_DESTINATION_ROWS]
     return [[f"{number}", world.destinations[number].kind.name, *figures] for number, figures in rows]
 
 
-def _under_way(entries: records.Ledger) -> dict[str, list[tuple[float, float]]]:
+def _open_messages(entries: records.Ledger) -> dict[str, list[tuple[float, float]]]:
     changes: dict[str, Counter[int]] = {"owed": Counter(), "in calls": Counter()}
     for entry in entries:
         match entry:
@@ -170,17 +174,17 @@
                 changes["in calls"][int(entry.t * 4)] += 1
             case records.Answered():
                 changes["in calls"][int(entry.t * 4)] -= 1
-    lines = {}
-    for name, steps in changes.items():
+    series = {}
+    for name, counter in changes.items():
         level, points = 0, []
-        for quarter in range(max(steps, default=0) + 1):
-            level += steps[quarter]
+        for quarter in range(max(counter, default=0) + 1):
+            level += counter[quarter]
             points.append((quarter / 4.0, float(level)))
-        lines[name] = points
-    return lines
+        series[name] = points
+    return series
 
 
-def _ends(entries: records.Ledger) -> dict[str, list[tuple[float, float]]]:
+def _results_per_second(entries: records.Ledger) -> dict[str, list[tuple[float, float]]]:
     counts: dict[str, Counter[int]] = defaultdict(Counter)
     for entry in entries:
         if isinstance(entry, records.Ended):
@@ -194,6 +198,6 @@
 
 def write_atomically(path: Path, text: str) -> None:
     """Write a page, never half of it to a reader; raises `OSError`."""
-    partial = path.with_name(path.name + ".part")
-    partial.write_text(text, encoding="utf-8")
-    partial.replace(path)
+    temporary = path.with_name(path.name + ".part")
+    temporary.write_text(text, encoding="utf-8")
+    temporary.replace(path)
--- a/irisstack/lab/results.py
+++ b/irisstack/lab/results.py
@@ -16,8 +16,8 @@
 from irisstack.lab.world import World
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-LONGEST_MS = 3_600_000
-DIGITS = 3
+MAX_DELAY_MS = 3_600_000
+SIGNIFICANT_DIGITS = 3
 LIBRARIES = ("numpy", "scipy", "msgspec", "gevent")
 
 
@@ -62,22 +62,22 @@
 
 def installed_versions() -> dict[str, str]:
     """What the figures were taken with."""
-    found = {"python": platform.python_version()}
+    by_name = {"python": platform.python_version()}
     for name in ("irisstack", *LIBRARIES):
         try:
-            found[name] = version(name)
+            by_name[name] = version(name)
         except PackageNotFoundError:
-            found[name] = "unknown"
-    return found
+            by_name[name] = "unknown"
+    return by_name
 
 
 def percentiles(delays: Sequence[float]) -> list[float]:
     """Seconds at each of `PERCENTILES`, to a millisecond; nothing for nothing."""
     if not delays:
         return []
-    histogram = HdrHistogram(1, LONGEST_MS, DIGITS)
+    histogram = HdrHistogram(1, MAX_DELAY_MS, SIGNIFICANT_DIGITS)
     for delay in delays:
-        histogram.record_value(max(1, min(LONGEST_MS, round(delay * 1000.0))))
+        histogram.record_value(max(1, min(MAX_DELAY_MS, round(delay * 1000.0))))
     return [histogram.get_value_at_percentile(percent) / 1000.0 for percent in PERCENTILES]
 
 
@@ -93,35 +93,35 @@
     events: int = 0,
 ) -> tuple[Run, scoring.RunScore, dict[str, list[rules.Breach]]]:
     """A ledger's figures and what broke which rule."""
-    figures: AuditParameters = audit_parameters(world)
-    found = rules.build_index(entries)
-    breaches = rules.check(found, figures)
-    got = scoring.score(found, figures)
+    parameters: AuditParameters = audit_parameters(world)
+    index = rules.build_index(entries)
+    breaches = rules.check(index, parameters)
+    run_score = scoring.score(index, parameters)
     run = Run(
         way,
         world.scenario.scenario.name,
         variant or policy,
         policy,
         seed,
-        got.score,
-        got.whole,
-        got.worst_window,
-        got.worst_class,
-        got.by_class,
-        got.ends,
-        got.ends_by_class,
-        got.asked,
-        got.attempts,
-        got.waste,
+        run_score.score,
+        run_score.whole,
+        run_score.worst_window,
+        run_score.worst_class,
+        run_score.by_class,
+        run_score.ends,
+        run_score.ends_by_class,
+        run_score.asked,
+        run_score.attempts,
+        run_score.waste,
         {name: len(broken) for name, broken in breaches.items()},
-        rules.count_duplicate_effects(found, figures),
-        len(found.overloads),
-        {name: percentiles(delays) for name, delays in got.delays.items()},
+        rules.count_duplicate_effects(index, parameters),
+        len(index.overloads),
+        {name: percentiles(delays) for name, delays in run_score.delays.items()},
         cpu_s,
         events,
         installed_versions(),
     )
-    return run, got, breaches
+    return run, run_score, breaches
 
 
 def save(folder: Path, scenario: Scenario, run: Run, entries: records.Ledger) -> None:
--- a/irisstack/lab/sweep_page.py
+++ b/irisstack/lab/sweep_page.py
@@ -8,13 +8,13 @@
 from irisstack.lab.results import Run
 
 
-def write(path: Path, name: str, asks: str, runs: Sequence[Run]) -> None:
+def write(path: Path, name: str, question: str, runs: Sequence[Run]) -> None:
     """Write it; raises `OSError`."""
-    found = compare.summarize(runs)
+    results = compare.summarize(runs)
     points: dict[str, dict[str, tuple[float, float, float]]] = {}
-    for one in found:
-        points.setdefault(one.scenario, {})[one.variant] = (one.low, one.score, one.high)
-    variants = list(dict.fromkeys(one.variant for one in found))
+    for summary in results:
+        points.setdefault(summary.scenario, {})[summary.variant] = (summary.low, summary.score, summary.high)
+    variants = list(dict.fromkeys(summary.variant for summary in results))
     sections = [
         table_section(
             "Scores",
@@ -31,22 +31,23 @@
                     s.waste,
                     s.runs_with_breaches,
                 ]
-                for s in found
+                for s in results
             ],
             "Means over the seeds, with 95 % intervals by the bootstrap. A run that breaks a rule counts for "
             "nothing, whatever its score.",
             charts.interval_chart(points, "score"),
         )
     ]
-    first = variants[0] if variants else ""
-    for other in variants[1:]:
+    baseline = variants[0] if variants else ""
+    for candidate in variants[1:]:
         rows = compare.differences(
-            [run for run in runs if run.variant == first], [run for run in runs if run.variant == other]
+            [run for run in runs if run.variant == baseline],
+            [run for run in runs if run.variant == candidate],
         )
         sections.append(
             table_section(
-                f"{other} beside {first}",
-                ["scenario", "figure", "pairs", first, other, "low", "high", "outcome"],
+                f"{candidate} beside {baseline}",
+                ["scenario", "figure", "pairs", baseline, candidate, "low", "high", "outcome"],
                 [
                     [
                         d.scenario,
@@ -56,7 +57,7 @@
                         d.mean_b,
                         d.low,
                         d.high,
-                        d.conclusion(first, other),
+                        d.conclusion(baseline, candidate),
                     ]
                     for d in rows
                 ],
@@ -69,4 +70,4 @@
         if broken
         else ("good", f"All six rules were kept in all {len(runs)} runs.")
     )
-    write_atomically(path, render_page(name, asks, [verdict], sections))
+    write_atomically(path, render_page(name, question, [verdict], sections))
