--- a/irisstack/lab/capacity_search.py
+++ b/irisstack/lab/capacity_search.py
@@ -1,4 +1,4 @@
-"""Search for the capacity of one real node: the offered rate rises step by step until it is saturated."""
+"""Searches for the capacity of one real node: the offered rate rises step by step until it is saturated."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -49,7 +49,7 @@
     length: float,
     progress: Callable[[float], None] = lambda done: None,
 ) -> Iterator[LoadStep]:
-    """Play step after step, until one is saturated or no result, or all have been played."""
+    """Run step after step, until one is saturated or invalid, or all have been run."""
     rate = first
     for number in range(steps):
         step_scenario = with_changes(
--- a/irisstack/lab/charts.py
+++ b/irisstack/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts as SVG, drawn by matplotlib without a screen."""
+"""Draws charts as SVG with matplotlib, without a display."""
 
 import io
 from collections.abc import Mapping, Sequence
@@ -10,6 +10,7 @@
 matplotlib.rcParams.update({"svg.hashsalt": "irisstack", "svg.fonttype": "none", "font.size": 9.0})
 
 WIDE = (8.0, 2.6)
+"""Width and height in inches."""
 
 
 def _svg(figure: Figure) -> str:
@@ -33,7 +34,7 @@
     spans: Sequence[tuple[float, float, str]] = (),
     y_max: float | None = None,
 ) -> str:
-    """Lines over the seconds of a run, with the times of troubles shaded."""
+    """Lines over the seconds of a run, with the time spans of troubles shaded."""
     figure, axes = _axes()
     for begins, ends, _ in spans:
         axes.axvspan(begins, max(ends, begins + 0.2), color="tab:red", alpha=0.08, lw=0)
@@ -48,7 +49,7 @@
 
 
 def interval_chart(rows: Mapping[str, Mapping[str, tuple[float, float, float]]], x_label: str) -> str:
-    """For each group a point with its interval for each variant: (low, middle, high)."""
+    """For each group and variant a point with its interval: (low, middle, high)."""
     groups = list(rows)
     figure, axes = _axes((8.0, 1.0 + 0.5 * len(groups)))
     variants = list(dict.fromkeys(name for points in rows.values() for name in points))
--- a/irisstack/lab/compare.py
+++ b/irisstack/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two variants beside each other, seed by seed: differences with intervals, and plain words."""
+"""Compares two variants seed by seed: differences with confidence intervals, and a conclusion in words."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,13 +10,15 @@
 
 CONFIDENCE = 0.95
 RESAMPLES = 2000
+"""Resamples of the bootstrap."""
 METRICS = ("score", "whole", "worst_window", "worst_class", "waste")
 LESS_IS_BETTER = {"waste"}
+"""Metrics of which a smaller value is better."""
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """B less A over the seeds that both have."""
+    """The difference B minus A of one metric, over the seeds that both have."""
 
     scenario: str
     metric: str
@@ -32,11 +34,11 @@
 
     @property
     def significant(self) -> bool:
-        """Whether the interval leaves zero out."""
+        """Whether the confidence interval excludes zero."""
         return self.pairs > 1 and (self.low > 0.0 or self.high < 0.0)
 
     def conclusion(self, a: str, b: str) -> str:
-        """The outcome in plain words."""
+        """The conclusion in words."""
         if not self.significant:
             return "no difference seen"
         better = (self.difference > 0.0) != (self.metric in LESS_IS_BETTER)
@@ -44,7 +46,7 @@
 
 
 def bootstrap_interval(values: Sequence[float]) -> tuple[float, float]:
-    """The mean's interval by the bootstrap (bias-corrected and accelerated), the same at each call."""
+    """Confidence interval of the mean by the bias-corrected and accelerated bootstrap; deterministic."""
     data = np.asarray(values, dtype=float)
     if data.size < 2 or np.ptp(data) == 0.0:
         mean = float(data.mean())
@@ -56,7 +58,7 @@
 
 
 def differences(a: Sequence[Run], b: Sequence[Run], metrics: Sequence[str] = METRICS) -> list[Difference]:
-    """Every scenario and metric that both have, paired by seed."""
+    """The differences for every scenario that both have, paired by seed."""
     by_seed_a = {(run.scenario, run.seed): run for run in a}
     by_seed_b = {(run.scenario, run.seed): run for run in b}
     common = [key for key in by_seed_a if key in by_seed_b]
@@ -79,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Summary:
-    """One variant on one scenario."""
+    """The results of one variant in one scenario."""
 
     scenario: str
     variant: str
@@ -90,11 +92,11 @@
     whole: float
     waste: float
     runs_with_breaches: int
-    """Runs that broke a rule."""
+    """Number of runs that broke a rule."""
 
 
 def summarize(runs: Sequence[Run]) -> list[Summary]:
-    """Each scenario and variant over its seeds; runs that break a rule are counted beside the means."""
+    """Summarize each scenario and variant over its seeds; runs that break a rule are included and counted."""
     groups: dict[tuple[str, str], list[Run]] = {}
     for run in runs:
         groups.setdefault((run.scenario, run.variant), []).append(run)
--- a/irisstack/lab/experiment.py
+++ b/irisstack/lab/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment: scenarios, variants and seeds, played on all cores, resumable, and kept line by line."""
+"""Runs an experiment: all its scenarios, variants and seeds, on all cores. A sweep can be resumed."""
 
 import hashlib
 import json
@@ -26,24 +26,24 @@
 
 
 class About(Section):
-    """What the experiment is."""
+    """Name and extent of the experiment."""
 
     name: str = Field(pattern=r"^[a-z0-9][a-z0-9-]*$")
     asks: str = ""
-    """The question it is to answer."""
+    """The question that it answers."""
     scenarios: list[str] = Field(min_length=1)
-    """Names of shipped scenarios, or paths beside this file."""
+    """Names of shipped scenarios, or paths relative to this file."""
     seeds: int = Field(20, ge=1)
-    """Each scenario and variant is played with seeds 1 to this."""
+    """Each scenario and variant is run with the seeds from 1 to this number."""
 
 
 class Variant(Section):
-    """One of the things compared."""
+    """One of the compared variants."""
 
     name: str = Field(min_length=1)
     policy: Literal["module", "one-try", "backoff", "half-open", "token-bucket", "aimd", "seer"] = "module"
     set: dict[str, Any] = {}
-    """Keys of the scenario that are other here: `"traffic.rate" = 60.0`."""
+    """Changed keys of the scenario: `"traffic.rate" = 60.0`."""
 
 
 class Experiment(Section):
@@ -58,13 +58,13 @@
         names = [variant.name for variant in value]
         for name in names:
             if names.count(name) > 1:
-                raise ValueError(f"the name {name!r} stands twice")
+                raise ValueError(f"expected unique names, got {name!r} twice")
         return value
 
 
 @dataclass(slots=True, frozen=True)
 class Job:
-    """One run to be played."""
+    """One run to execute."""
 
     scenario: Scenario
     variant: str
@@ -78,19 +78,21 @@
 
 
 def read(path: Path) -> Experiment:
-    """The experiment in a file; raises `DocumentError`."""
+    """Read an experiment file; raises `DocumentError`."""
     return document.read(path, Experiment)
 
 
 def build_jobs(experiment: Experiment, path: Path) -> list[Job]:
-    """All runs, seed by seed, so that an interrupted sweep has whole pairs; raises `DocumentError`."""
+    """All runs, ordered by seed so that an interrupted sweep has complete pairs; raises `DocumentError`."""
     configurations: list[tuple[Scenario, Variant, str]] = []
     scenario_names: set[str] = set()
     for name in experiment.experiment.scenarios:
         location = scenario_path(name)
         scenario = read_scenario(location if location.is_absolute() else path.parent / location)
         if scenario.scenario.name in scenario_names:
-            raise DocumentError(path, [Problem("experiment.scenarios", f"{name!r} stands twice")])
+            raise DocumentError(
+                path, [Problem("experiment.scenarios", f"expected unique scenarios, got {name!r} twice")]
+            )
         scenario_names.add(scenario.scenario.name)
         for variant in experiment.variants:
             variant_scenario = with_changes(scenario, variant.set, path) if variant.set else scenario
@@ -103,13 +105,13 @@
 
 
 def fingerprint(scenario: Scenario, policy: str) -> str:
-    """Runs with the same one were asked for by the same words."""
+    """A hash of everything that determines a run but its seed."""
     text = json.dumps([scenario.model_dump(), policy], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 def run_job(job: Job) -> Run:
-    """Play one run in virtual time."""
+    """Run one job in virtual time."""
     world = build_world(job.scenario, job.seed)
     played = play(world, POLICIES[job.policy])
     run, _, _ = results.audit_run(
@@ -127,7 +129,7 @@
 
 
 def load_runs(path: Path) -> list[Run]:
-    """The runs in a file of results; a last line that was cut off by a kill is passed over."""
+    """The runs in a results file; ignores an incomplete last line, left by a killed sweep."""
     if not path.exists():
         return []
     runs: list[Run] = []
@@ -150,7 +152,7 @@
     workers: int | None = None,
     progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> Iterator[Run]:
-    """Play what a file of results lacks, and append each run to it as it ends."""
+    """Run the jobs that the file has no results for, append each result at once, and yield all results."""
     existing = {(run.scenario, run.variant, run.seed, run.fingerprint): run for run in load_runs(path)}
     missing = [job for job in jobs if job.key not in existing]
     done = len(jobs) - len(missing)
@@ -181,7 +183,7 @@
 
 
 def _remove_partial_line(path: Path) -> None:
-    """Cut off half a line that a killed sweep has left."""
+    """Remove an incomplete last line, left by a killed sweep."""
     if path.exists():
         data = path.read_bytes()
         complete = data[: data.rfind(b"\n") + 1]
@@ -190,5 +192,5 @@
 
 
 def _ignore_sigint() -> None:
-    """Ctrl-C ends the sweep by its parent; a worker brings its run to an end."""
+    """On Ctrl-C the parent process ends the sweep; a worker completes its run."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/irisstack/lab/ledger.py
+++ b/irisstack/lab/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: the records of what was observed in a run, written alike in virtual time and on sockets.
+"""The ledger: the records of a run, the same in virtual time and on real sockets.
 
-A file holds one JSON array a line, with the record's tag first. A renamed class keeps its tag,
-so that kept runs can be read. Times are seconds from the start of the run, on one clock.
+A file holds one JSON array a line, with the record's tag first. A renamed class keeps its tag, so that saved
+runs can be read. Times are in seconds from the start of the run, on one clock.
 """
 
 import gzip
@@ -32,7 +32,7 @@
 
 
 class Accepted(Record, frozen=True, array_like=True, tag="TakenOn", gc=False):
-    """The node accepted the message: from here on it owes a final result."""
+    """The node accepted the message: it is pending from now on."""
 
     node: int
     message: int
@@ -48,7 +48,7 @@
 
 
 class Executed(Record, frozen=True, array_like=True, tag="Ran", gc=False):
-    """An endpoint executed the message; `effect` is false where it knew the key and dropped it."""
+    """An endpoint executed the message; `effect` is false if it dropped a repeat of a known key."""
 
     message: int
     chain: int
@@ -63,7 +63,7 @@
 
 
 class Answered(Record, frozen=True, array_like=True, tag=True, gc=False):
-    """What the node could know of one attempt's end; `wait` is the Retry-After in seconds, 0 for none."""
+    """The end of an attempt, as the node observed it; `wait` is the Retry-After in seconds, 0 for none."""
 
     node: int
     message: int
@@ -73,7 +73,7 @@
 
 
 Result = Literal["delivered", "refused", "failed", "withdrawn", "unheard"]
-"""`withdrawn`: the node knows that its client left; `unheard`: the client left, and the node may not know."""
+"""`withdrawn`: the node knows that the client left; `unheard`: the client left, perhaps unnoticed."""
 
 
 class Ended(Record, frozen=True, array_like=True, tag=True, gc=False):
@@ -107,7 +107,7 @@
 
 
 class NodeState(Record, frozen=True, array_like=True, tag=True, gc=False):
-    """A node's process: `killed` keeps its folder, `lost` does not."""
+    """The state of a node's process. The state directory survives `killed`, but not `lost`."""
 
     node: int
     state: Literal["ready", "stopping", "killed", "lost", "stalled", "awake"]
@@ -149,7 +149,7 @@
 
 
 def encoded_lines(ledger: Iterable[Entry]) -> Iterator[bytes]:
-    """The ledger's bytes, line by line."""
+    """The ledger in the form of its file, line by line."""
     encoder = msgspec.json.Encoder()
     return (encoder.encode(entry) for entry in ledger)
 
@@ -173,6 +173,6 @@
         if not compressed:
             yield raw
             return
-        # No name and no time in the head: the same ledger is the same file.
+        # No name and no time in the gzip header: equal ledgers give equal files.
         with gzip.GzipFile("", mode, 5, raw, mtime=0) as file:
             yield file  # type: ignore[misc]
--- a/irisstack/lab/report.py
+++ b/irisstack/lab/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page for a run: what became of every message, the rules, and charts."""
+"""Renders the results of a run as one self-contained HTML page: final results, rules, and charts."""
 
 from collections import Counter, defaultdict
 from collections.abc import Sequence
@@ -16,10 +16,10 @@
 from irisstack.lab.world import World
 
 MAX_DESTINATION_ROWS = 40
-"""Destinations in the table: the worst-served of many."""
+"""Rows of the table of destinations; if there are more, the destinations with the least worth are shown."""
 
 MAX_BREACH_ROWS = 20
-"""Breaches of each rule in the table."""
+"""Breaches shown for each rule."""
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
 def table_section(
     title: str, columns: Sequence[str], rows: Sequence[Sequence[Any]], note: str = "", svg: str = ""
 ) -> PageSection:
-    """A section with a table; numbers stand to the right."""
+    """A section with a table; columns with numbers are right-aligned."""
     numeric = {i for i in range(len(columns)) if any(isinstance(row[i], int | float) for row in rows)}
     return PageSection(
         title, note, svg, columns, [[_format_cell(value) for value in row] for row in rows], numeric
@@ -51,13 +51,13 @@
 def render_page(
     title: str, about: str, verdicts: Sequence[tuple[str, str]], sections: Sequence[PageSection]
 ) -> str:
-    """The whole page; a verdict is a class (`good`, `bad`, `note`) and a line."""
+    """Render the page; a verdict is a CSS class (`good`, `bad`, `note`) and a line of text."""
     template = Environment(loader=PackageLoader("irisstack.lab"), autoescape=True).get_template("page.html")
     return template.render(title=title, about=about, verdicts=verdicts, sections=sections)
 
 
 def run_verdicts(run: Run) -> list[tuple[str, str]]:
-    """What a reader must know first."""
+    """The verdicts on a run, for the head of its page."""
     lines = []
     if run.not_a_result:
         lines.append(("bad", f"This run is not a result: {run.not_a_result}."))
@@ -82,7 +82,7 @@
 def run_page(
     world: World, run: Run, score: RunScore, breaches: dict[str, list[Breach]], entries: records.Ledger
 ) -> str:
-    """The page of one run."""
+    """Render the page of one run."""
     spans = [(i.starts_at, i.ends_at, i.trouble.kind) for i in world.incidents]
     result_rows = [
         [name, *(count.get(result, 0) for result in RESULT_COLUMNS), run.by_class[name]]
@@ -197,7 +197,7 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Write a page, never half of it to a reader; raises `OSError`."""
+    """Write a file so that readers never see part of it; raises `OSError`."""
     temporary = path.with_name(path.name + ".part")
     temporary.write_text(text, encoding="utf-8")
     temporary.replace(path)
--- a/irisstack/lab/results.py
+++ b/irisstack/lab/results.py
@@ -1,4 +1,4 @@
-"""A run as a result: figures, verdict and ledger in a folder of its own."""
+"""The result of a run: its metrics, and its directory with scenario, metrics and ledger."""
 
 import platform
 from collections.abc import Sequence
@@ -17,15 +17,18 @@
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 MAX_DELAY_MS = 3_600_000
+"""Longest delay in the histogram, in milliseconds; longer ones count as this."""
 SIGNIFICANT_DIGITS = 3
+"""Significant digits of the histogram."""
 LIBRARIES = ("numpy", "scipy", "msgspec", "gevent")
+"""Libraries whose versions are recorded with the results."""
 
 
 class Run(msgspec.Struct):
-    """One run in figures. Worth is a share from 0 to 1, times are seconds."""
+    """The metrics of one run. Worth is a share from 0 to 1; times are in seconds."""
 
     way: str
-    """`model` in virtual time, `sockets` with real processes."""
+    """`model`: in virtual time; `sockets`: with real processes on real sockets."""
     scenario: str
     variant: str
     policy: str
@@ -49,11 +52,11 @@
     events: int
     versions: dict[str, str]
     fingerprint: str = ""
-    """Of scenario and variant; runs with another one are not compared."""
+    """Hash of the variant's scenario and policy; runs with different ones are not compared."""
     partial: bool = False
-    """It was interrupted: what is here covers the time until then."""
+    """The run was interrupted; the metrics cover the time until then."""
     not_a_result: str = ""
-    """Why it must not be taken for a measurement; empty if it may."""
+    """Why the run is not a valid measurement; empty if it is."""
 
     @property
     def rules_kept(self) -> bool:
@@ -61,7 +64,7 @@
 
 
 def installed_versions() -> dict[str, str]:
-    """What the figures were taken with."""
+    """Versions of Python, this program and the libraries."""
     by_name = {"python": platform.python_version()}
     for name in ("irisstack", *LIBRARIES):
         try:
@@ -72,7 +75,7 @@
 
 
 def percentiles(delays: Sequence[float]) -> list[float]:
-    """Seconds at each of `PERCENTILES`, to a millisecond; nothing for nothing."""
+    """Seconds at each of `PERCENTILES`, to a millisecond; empty without delays."""
     if not delays:
         return []
     histogram = HdrHistogram(1, MAX_DELAY_MS, SIGNIFICANT_DIGITS)
@@ -92,7 +95,7 @@
     cpu_s: float = 0.0,
     events: int = 0,
 ) -> tuple[Run, scoring.RunScore, dict[str, list[rules.Breach]]]:
-    """A ledger's figures and what broke which rule."""
+    """Audit a ledger; returns the metrics, the score and the breaches of each rule."""
     parameters: AuditParameters = audit_parameters(world)
     index = rules.build_index(entries)
     breaches = rules.check(index, parameters)
@@ -125,7 +128,7 @@
 
 
 def save(folder: Path, scenario: Scenario, run: Run, entries: records.Ledger) -> None:
-    """Keep a run: scenario, figures and ledger. Raises `OSError`."""
+    """Save a run's scenario, metrics and ledger; raises `OSError`."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "scenario.json").write_bytes(_json(scenario.model_dump()))
     records.write(folder / "ledger.jsonl.gz", entries)
@@ -133,7 +136,7 @@
 
 
 def load(folder: Path) -> Run:
-    """A kept run; raises `OSError` or `ValueError`."""
+    """Load a saved run; raises `OSError` or `ValueError`."""
     try:
         return msgspec.json.decode((folder / "run.json").read_bytes(), type=Run)
     except msgspec.MsgspecError as error:
--- a/irisstack/lab/sweep_page.py
+++ b/irisstack/lab/sweep_page.py
@@ -1,4 +1,4 @@
-"""The page of a sweep: every variant on every scenario, with intervals."""
+"""Writes the HTML page of a sweep: every variant in every scenario, with confidence intervals."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def write(path: Path, name: str, question: str, runs: Sequence[Run]) -> None:
-    """Write it; raises `OSError`."""
+    """Write the page; raises `OSError`."""
     results = compare.summarize(runs)
     points: dict[str, dict[str, tuple[float, float, float]]] = {}
     for summary in results:
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -1,4 +1,4 @@
-"""Sweeps go on after a kill, pairs are compared with intervals, and pages stand alone."""
+"""Experiments: resumed sweeps, comparisons with confidence intervals, and self-contained pages."""
 
 import re
 from pathlib import Path
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "expected"),
     [
-        ('name = "busier"', 'name = "module"', "stands twice"),
+        ('name = "busier"', 'name = "module"', "expected unique names, got 'module' twice"),
         ('"traffic.rate" = 30.0', '"traffic.rat" = 3.0', "rat"),
         ('scenarios = ["small.toml"]', 'scenarios = ["none.toml"]', "cannot be read"),
         ("seeds = 3", "seeds = 0", "experiment.seeds"),
@@ -118,7 +118,7 @@
 ) -> None:
     a = [make_run(seed, 0.5 + seed / 100) for seed in range(len(steps))]
     b = [make_run(seed, 0.5 + seed / 100 + step, "b") for seed, step in enumerate(steps)]
-    found = compare.differences(a, b[::-1], ("score",))[0]  # paired by seed, not by place
+    found = compare.differences(a, b[::-1], ("score",))[0]  # paired by seed, not by position
     assert found.conclusion("a", "b") == conclusion
     assert found.low <= found.difference + 1e-9
     assert found.difference <= found.high + 1e-9
