--- a/irisstack/node/segments.py
+++ b/irisstack/node/segments.py
@@ -1,7 +1,7 @@
-"""Numbered files that are appended to, oldest first. An append that fails leaves no trace.
+"""A log in numbered segment files, of which only the newest is appended to.
 
-Each segment begins with a head that its owner gives. A part of a failed append is cut off again; where that
-fails too the segment is closed, since what followed a torn record would not be read.
+Each segment begins with a header record set by the owner. After a failed append the file is truncated to its
+previous size. If that fails too, the segment is closed, since records after a torn one would not be read.
 """
 
 import os
@@ -13,33 +13,33 @@
 from irisstack.node import records
 
 BLOCK_SIZE = 512
-"""Files count in whole units of this size."""
+"""Bytes; file sizes are rounded up to a multiple of it."""
 
 
 class SegmentLog:
-    """The segments of a folder; all methods that write raise `OSError`."""
+    """The segments of a directory; all methods that write raise `OSError`."""
 
-    def __init__(self, folder: Path) -> None:
-        self._folder = folder
-        self._file = -1  # of the newest segment, once it was opened
-        self.sizes: dict[int, int] = {}
-        self.newest = 0
+    def __init__(self, directory: Path) -> None:
+        self._directory = directory
+        self._descriptor = -1  # of the newest segment; -1 while it is not open
+        self.sizes: dict[int, int] = {}  # in bytes, by segment number
+        self.newest = 0  # number of the newest segment
         self.header = b""
-        """What each new segment begins with."""
+        """The record that each new segment begins with."""
 
     def read(self) -> Iterator[tuple[int, records.Fields, bytes]]:
-        """All records, each with its segment's number; called once, before anything is written."""
-        for path in sorted(self._folder.glob("[0-9]" * 10 + ".log")):
+        """All records, each with the number of its segment; called once, before the first write."""
+        for path in sorted(self._directory.glob("[0-9]" * 10 + ".log")):
             segment = int(path.stem)
             data = path.read_bytes()
             self.sizes[segment] = len(data)
             self.newest = max(self.newest, segment)
-            for note, body in records.decode(data):
-                yield segment, note, body
+            for fields, body in records.decode(data):
+                yield segment, fields, body
 
     @property
     def older_segments(self) -> list[int]:
-        """The segments before the newest, oldest first."""
+        """Numbers of all segments but the newest, oldest first."""
         return sorted(self.sizes)[:-1]
 
     @property
@@ -49,34 +49,34 @@
 
     @property
     def used_bytes(self) -> int:
-        """Bytes of the folder in use."""
+        """Bytes used by all segments."""
         return sum(-(-size // BLOCK_SIZE) * BLOCK_SIZE for size in self.sizes.values())
 
     def open_next(self) -> None:
-        """Begin another segment; if that fails, the one before stays."""
+        """Open the next segment; if that fails, the previous one stays the newest."""
         number = self.newest + 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
-        file = os.open(self._path(number), flags, 0o600)
+        descriptor = os.open(self._path(number), flags, 0o600)
         try:
-            _write_all(file, self.header)
+            _write_all(descriptor, self.header)
         except OSError:
-            os.close(file)
+            os.close(descriptor)
             with suppress(OSError):
                 self._path(number).unlink()
             raise
         self.close()
-        self._file, self.newest = file, number
+        self._descriptor, self.newest = descriptor, number
         self.sizes[number] = len(self.header)
 
     def append(self, data: bytes) -> None:
-        """Append to the newest segment, or to another where that one cannot be appended to."""
-        if self._file < 0:
+        """Append to the newest segment, or to a new one if that one is closed."""
+        if self._descriptor < 0:
             self.open_next()
         size = self.sizes[self.newest]
         try:
-            _write_all(self._file, data)
+            _write_all(self._descriptor, data)
         except OSError:
-            self._cut(size)
+            self._truncate(size)
             raise
         self.sizes[self.newest] = size + len(data)
 
@@ -87,27 +87,27 @@
         del self.sizes[segment]
 
     def close(self) -> None:
-        """Let go of the newest segment; an append begins another."""
-        if self._file >= 0:
+        """Close the newest segment; the next append opens another."""
+        if self._descriptor >= 0:
             with suppress(OSError):
-                os.close(self._file)
-            self._file = -1
+                os.close(self._descriptor)
+            self._descriptor = -1
 
-    def _cut(self, size: int) -> None:
+    def _truncate(self, size: int) -> None:
         try:
-            os.ftruncate(self._file, size)
+            os.ftruncate(self._descriptor, size)
         except OSError:
             with suppress(OSError):
-                self.sizes[self.newest] = os.fstat(self._file).st_size
+                self.sizes[self.newest] = os.fstat(self._descriptor).st_size
             self.close()
 
     def _path(self, segment: int) -> Path:
-        return self._folder / f"{segment:010d}.log"
+        return self._directory / f"{segment:010d}.log"
 
 
-def _write_all(file: int, data: bytes) -> None:
+def _write_all(descriptor: int, data: bytes) -> None:
     while data:
-        written = os.write(file, data)
+        written = os.write(descriptor, data)
         if not written:
-            raise OSError(EIO, "nothing was written")
+            raise OSError(EIO, "wrote 0 bytes")
         data = data[written:]
