--- a/irisstack/lab/partner.py
+++ b/irisstack/lab/partner.py
@@ -17,7 +17,7 @@
 FAST_FAILURE_DELAY = 0.01
 """Seconds until a call that fails fast is answered."""
 MIN_OVERLOAD_CALLS = 4.0
-"""Calls beyond its capacity that any cold destination tolerates: one burst must not take a small one down."""
+"""Excess calls that any cold destination tolerates: one burst must not take a small destination down."""
 PAUSE_END_TOLERANCE = 1e-6
 """Seconds: a pause with less time than this remaining counts as over."""
 KEY_CLEANUP_INTERVAL = 4096
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Conditions:
-    """The faults of an endpoint that are in force; troubles set and clear them."""
+    """The faults of an endpoint that are in force; troubles set and clear them. Times are in seconds."""
 
     silent: bool = False
     refuses_until: float = 0.0
--- a/irisstack/lab/scenario.py
+++ b/irisstack/lab/scenario.py
@@ -187,7 +187,7 @@
     late_s: SecondsOrRange = [0.2, 1.0]
     """Delay until a change reaches a node."""
     rates: bool = True
-    """Whether the list carries each destination's rate."""
+    """Whether the list gives each destination's rate."""
     reports: bool = True
     """Whether answers report the available share of the destination's limit, and the limit."""
 
@@ -255,7 +255,7 @@
     runs: Share = 0.5
     """Share of the failed, unanswered or reset calls that were executed all the same."""
     tells_wait: Share = 0.7
-    """For `shut`: share of the refusals whose Retry-After gives the time until the end."""
+    """For `shut`: share of the refusals that carry Retry-After, with the time until the end."""
     disk_lost: bool = False
     """For `killed`: the state directory is lost; clients submit the messages pending there again."""
 
--- a/irisstack/lab/world.py
+++ b/irisstack/lab/world.py
@@ -14,7 +14,7 @@
 from irisstack.lab.scenario import DEFAULT_STRENGTH, LIST_TROUBLES, NODE_TROUBLES, Kind, Scenario, Trouble
 
 MAX_WORK = 10.0
-"""Upper bound of a message's work, as a multiple of the mean: one message must not take up the whole run."""
+"""Maximum work of a message, as a multiple of the mean: no single message may take up the whole run."""
 
 
 @dataclass(slots=True, frozen=True)
