--- a/irisstack/lab/audit/figures.py
+++ b/irisstack/lab/audit/parameters.py
@@ -1,4 +1,4 @@
-"""The figures that a run is audited by."""
+"""The parameters of an audit."""
 
 from dataclasses import dataclass
 
@@ -7,29 +7,29 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
-    """What the rules and the worth of a run go by; times in seconds."""
+class AuditParameters:
+    """Parameters of the rules and of the score; times in seconds."""
 
     classes: tuple[MessageClass, ...]
-    length: float
+    duration: float
     answer_slack: float
     drain_grace: float
     order_pause: float
     wait_slack: float
-    tip_seconds: dict[int, float]
-    """For each destination: over how long its load before a fall is looked at."""
+    overload_windows: dict[int, float]
+    """By destination: length of the period before an overload whose calls are counted as its load."""
     separate_routes: frozenset[int]
-    """Destinations whose endpoints are routes of their own."""
+    """Destinations each of whose endpoints is a route of its own."""
     restart_slack: float = 1.5
-    """After a node is ready again, the time in which nothing that it owes is overdue."""
+    """Time after a node's restart within which no final result is overdue."""
 
 
-def figures_of(world: World) -> Figures:
-    """The figures of a scenario's world."""
+def audit_parameters(world: World) -> AuditParameters:
+    """The audit parameters of a world."""
     rules = world.scenario.rules
-    return Figures(
+    return AuditParameters(
         tuple(world.scenario.classes),
-        world.length,
+        world.duration,
         rules.answer_slack_s,
         rules.drain_grace_s,
         rules.order_pause_s,
--- a/irisstack/lab/lateness.py
+++ b/irisstack/lab/lateness.py
@@ -1,30 +1,31 @@
-"""How late a process's own greenlets are woken: a laboratory that is late itself can judge nobody."""
+"""Measures how late this process wakes its greenlets. A laboratory that runs late gives no valid results."""
 
 import time
 
 import gevent
 
-LOOK = 0.01
-"""Seconds between two looks."""
+PROBE_INTERVAL = 0.01
+"""Seconds between two measurements."""
 
 
-class Lateness:
-    """What was seen of it."""
+class LatenessMonitor:
+    """Records by how many seconds a sleeping greenlet is woken late."""
 
     def __init__(self) -> None:
-        self.seen: list[float] = []
+        self.samples: list[float] = []
 
-    def watch(self) -> None:
-        """Look for ever."""
+    def run(self) -> None:
+        """Measure until killed."""
         while True:
-            due = time.monotonic() + LOOK
-            gevent.sleep(LOOK)
-            self.seen.append(max(0.0, time.monotonic() - due))
+            due = time.monotonic() + PROBE_INTERVAL
+            gevent.sleep(PROBE_INTERVAL)
+            self.samples.append(max(0.0, time.monotonic() - due))
 
-    def at(self, share: float) -> float:
-        """Seconds that this share of the looks did not exceed."""
-        return sorted(self.seen)[int((len(self.seen) - 1) * share)] if self.seen else 0.0
+    def quantile(self, share: float) -> float:
+        """The lateness that this share of the samples did not exceed, in seconds."""
+        return sorted(self.samples)[int((len(self.samples) - 1) * share)] if self.samples else 0.0
 
     @property
-    def most(self) -> float:
-        return max(self.seen, default=0.0)
+    def maximum(self) -> float:
+        """The largest lateness, in seconds."""
+        return max(self.samples, default=0.0)
--- a/irisstack/lab/sweep_page.py
+++ b/irisstack/lab/sweep_page.py
@@ -1,45 +1,64 @@
-"""The page of a sweep: every variant on every scenario, with intervals."""
+"""Writes the HTML page of a sweep: every variant in every scenario, with confidence intervals."""
 
 from collections.abc import Sequence
 from pathlib import Path
 
 from irisstack.lab import charts, compare
-from irisstack.lab.report import page, tabled
-from irisstack.lab.report import write as write_page
+from irisstack.lab.report import render_page, table_section, write_atomically
 from irisstack.lab.results import Run
 
 
-def write(path: Path, name: str, asks: str, runs: Sequence[Run]) -> None:
-    """Write it; raises `OSError`."""
-    found = compare.summaries(runs)
+def write(path: Path, name: str, question: str, runs: Sequence[Run]) -> None:
+    """Write the page; raises `OSError`."""
+    results = compare.summarize(runs)
     points: dict[str, dict[str, tuple[float, float, float]]] = {}
-    for one in found:
-        points.setdefault(one.scenario, {})[one.variant] = (one.low, one.score, one.high)
-    variants = list(dict.fromkeys(one.variant for one in found))
+    for summary in results:
+        points.setdefault(summary.scenario, {})[summary.variant] = (summary.low, summary.score, summary.high)
+    variants = list(dict.fromkeys(summary.variant for summary in results))
     sections = [
-        tabled(
+        table_section(
             "Scores",
             ["scenario", "variant", "runs", "score", "low", "high", "whole", "in vain", "rules broken in"],
             [
-                [s.scenario, s.variant, s.runs, s.score, s.low, s.high, s.whole, s.waste, s.broken]
-                for s in found
+                [
+                    s.scenario,
+                    s.variant,
+                    s.runs,
+                    s.score,
+                    s.low,
+                    s.high,
+                    s.whole,
+                    s.waste,
+                    s.runs_with_breaches,
+                ]
+                for s in results
             ],
             "Means over the seeds, with 95 % intervals by the bootstrap. A run that breaks a rule counts for "
             "nothing, whatever its score.",
-            charts.intervals(points, "score"),
+            charts.interval_chart(points, "score"),
         )
     ]
-    first = variants[0] if variants else ""
-    for other in variants[1:]:
+    baseline = variants[0] if variants else ""
+    for candidate in variants[1:]:
         rows = compare.differences(
-            [run for run in runs if run.variant == first], [run for run in runs if run.variant == other]
+            [run for run in runs if run.variant == baseline],
+            [run for run in runs if run.variant == candidate],
         )
         sections.append(
-            tabled(
-                f"{other} beside {first}",
-                ["scenario", "figure", "pairs", first, other, "low", "high", "outcome"],
+            table_section(
+                f"{candidate} beside {baseline}",
+                ["scenario", "figure", "pairs", baseline, candidate, "low", "high", "outcome"],
                 [
-                    [d.scenario, d.metric, d.pairs, d.mean_a, d.mean_b, d.low, d.high, d.words(first, other)]
+                    [
+                        d.scenario,
+                        d.metric,
+                        d.pairs,
+                        d.mean_a,
+                        d.mean_b,
+                        d.low,
+                        d.high,
+                        d.conclusion(baseline, candidate),
+                    ]
                     for d in rows
                 ],
                 "Differences seed by seed, with their 95 % intervals.",
@@ -51,4 +70,4 @@
         if broken
         else ("good", f"All six rules were kept in all {len(runs)} runs.")
     )
-    write_page(path, page(name, asks, [verdict], sections))
+    write_atomically(path, render_page(name, question, [verdict], sections))
