--- a/irisstack/cli/lab.py
+++ b/irisstack/cli/lab.py
@@ -75,7 +75,7 @@
 
     from irisstack.lab import scenario
 
-    path = scenario.find(name)
+    path = scenario.scenario_path(name)
     try:
         definition = scenario.read(path)
         overrides: dict[str, Any] = {}
@@ -87,7 +87,7 @@
                 overrides[key] = value
             if not equals:
                 output.fail(f"--set {change}: expected KEY=VALUE", output.USAGE_ERROR)
-        return scenario.changed(definition, overrides, path) if overrides else definition
+        return scenario.with_changes(definition, overrides, path) if overrides else definition
     except DocumentError as error:
         output.fail(str(error), output.USAGE_ERROR)
 
@@ -136,7 +136,7 @@
     """List the scenarios that are included in the package."""
     from irisstack.lab import scenario
 
-    definitions = [scenario.read(path) for path in sorted(scenario.SHIPPED.glob("*.toml"))]
+    definitions = [scenario.read(path) for path in sorted(scenario.SCENARIO_DIRECTORY.glob("*.toml"))]
     output.print_table(
         ["name", "seconds", "nodes", "destinations", "shows"],
         [
@@ -159,10 +159,10 @@
 @output.json_option
 def check(scenario: str, changes: tuple[str, ...], as_json: bool) -> None:
     """Check SCENARIO (a file, or the name of an included one) and print its size and troubles."""
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     definition = _load_scenario(scenario, changes)
-    world = build(definition)
+    world = build_world(definition)
     output.print_table(
         ["what", "value"],
         [
@@ -173,12 +173,13 @@
             ["endpoints", len(world.endpoints)],
             [
                 "slots of a node, least and most",
-                f"{min(node.slots for node in world.senders)} to {max(node.slots for node in world.senders)}",
+                f"{min(node.max_calls for node in world.senders)} to "
+                f"{max(node.max_calls for node in world.senders)}",
             ],
             *(
                 [
                     f"trouble: {incident.trouble.kind}",
-                    f"{incident.begins:.1f} to {incident.ends:.1f} s, "
+                    f"{incident.starts_at:.1f} to {incident.ends_at:.1f} s, "
                     f"strikes {len(incident.nodes) or len(incident.destinations)}",
                 ]
                 for incident in world.incidents
@@ -202,16 +203,16 @@
     from irisstack.lab import results
     from irisstack.lab.baselines import POLICIES
     from irisstack.lab.virtual.play import play
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     if policy not in POLICIES:
         output.fail(f"--policy: expected one of {', '.join(POLICIES)}, got {policy!r}", output.USAGE_ERROR)
     definition = _load_scenario(scenario, changes)
     seed = definition.scenario.seed if seed is None else seed
-    world = build(definition, seed)
+    world = build_world(definition, seed)
     with _progress_bar(definition.scenario.name) as progress:
         play_result = play(world, POLICIES[policy], progress)
-    run, score, breaches = results.audited(
+    run, score, breaches = results.audit_run(
         world,
         play_result.ledger,
         way="model",
@@ -265,17 +266,17 @@
     from irisstack.lab import results
     from irisstack.lab.sockets.play import play
     from irisstack.lab.sockets.run_context import RunError
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     seed = definition.scenario.seed if seed is None else seed
-    world = build(definition, seed)
+    world = build_world(definition, seed)
     folder = out / f"{definition.scenario.name}-sockets-{seed}"
     try:
         with _progress_bar(definition.scenario.name) as progress:
             play_result = play(world, folder / "nodes", progress)
     except (RunError, OSError) as error:
         output.fail(str(error))
-    run, score, breaches = results.audited(
+    run, score, breaches = results.audit_run(
         world, play_result.ledger, way="sockets", policy="module", seed=seed, cpu_s=play_result.cpu_s
     )
     run.partial, run.not_a_result = play_result.partial, play_result.not_a_result
@@ -343,7 +344,7 @@
 
     try:
         results.save(folder, world.scenario, run, entries)
-        report.write(folder / "report.html", report.of_run(world, run, score, breaches, entries))
+        report.write_atomically(folder / "report.html", report.run_page(world, run, score, breaches, entries))
     except OSError as error:
         output.fail(f"{folder}: cannot be written: {error.strerror}")
     click.echo(f"results in {folder}, report in {folder / 'report.html'}", err=True)
@@ -362,7 +363,7 @@
 
     try:
         definition = experiments.read(experiment)
-        jobs = experiments.jobs(definition, experiment)
+        jobs = experiments.build_jobs(definition, experiment)
     except DocumentError as error:
         output.fail(str(error), output.USAGE_ERROR)
     folder = out / definition.experiment.name
@@ -404,9 +405,9 @@
                 summary.high,
                 summary.whole,
                 summary.waste,
-                summary.broken,
+                summary.runs_with_breaches,
             ]
-            for summary in compare.summaries(runs)
+            for summary in compare.summarize(runs)
         ],
         as_json,
     )
@@ -430,7 +431,7 @@
         runs_file = path / "runs.jsonl" if path.is_dir() else path
         if not runs_file.exists():
             output.fail(f"{path}: no results found", output.USAGE_ERROR)
-        return experiment.kept(runs_file)
+        return experiment.load_runs(runs_file)
     except (OSError, ValueError) as error:
         output.fail(str(error))
 
@@ -477,7 +478,7 @@
                 difference.difference,
                 difference.low,
                 difference.high,
-                difference.words(a, b),
+                difference.conclusion(a, b),
             ]
             for difference in differences
         ],
@@ -493,7 +494,7 @@
     from irisstack.configuration.document import parse
     from irisstack.lab import ledger, report, results
     from irisstack.lab.scenario import Scenario
-    from irisstack.lab.world import build
+    from irisstack.lab.world import build_world
 
     if not (folder / "run.json").exists():
         runs = _load_runs(folder)
@@ -505,8 +506,8 @@
         entries = ledger.read(folder / "ledger.jsonl.gz")
     except (OSError, ValueError, EOFError, DocumentError) as error:
         output.fail(str(error))
-    world = build(scenario, saved_run.seed)
-    run, score, breaches = results.audited(
+    world = build_world(scenario, saved_run.seed)
+    run, score, breaches = results.audit_run(
         world, entries, way=saved_run.way, policy=saved_run.policy, seed=saved_run.seed
     )
     run.versions, run.partial, run.not_a_result = (
@@ -514,5 +515,5 @@
         saved_run.partial,
         saved_run.not_a_result,
     )
-    report.write(folder / "report.html", report.of_run(world, run, score, breaches, entries))
+    report.write_atomically(folder / "report.html", report.run_page(world, run, score, breaches, entries))
     click.echo(f"report in {folder / 'report.html'}", err=True)
--- a/irisstack/lab/ledger.py
+++ b/irisstack/lab/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: the records of what was observed in a run, written alike in virtual time and on sockets.
+"""The ledger: the records of a run, the same in virtual time and on real sockets.
 
-A file holds one JSON array a line, with the record's tag first. A renamed class keeps its tag,
-so that kept runs can be read. Times are seconds from the start of the run, on one clock.
+A file holds one JSON array a line, with the record's tag first. A renamed class keeps its tag, so that saved
+runs can be read. Times are in seconds from the start of the run, on one clock.
 """
 
 import gzip
@@ -32,7 +32,7 @@
 
 
 class Accepted(Record, frozen=True, array_like=True, tag="TakenOn", gc=False):
-    """The node accepted the message: from here on it owes a final result."""
+    """The node accepted the message: it is pending from now on."""
 
     node: int
     message: int
@@ -48,7 +48,7 @@
 
 
 class Executed(Record, frozen=True, array_like=True, tag="Ran", gc=False):
-    """An endpoint executed the message; `effect` is false where it knew the key and dropped it."""
+    """An endpoint executed the message; `effect` is false if it dropped a repeat of a known key."""
 
     message: int
     chain: int
@@ -63,7 +63,7 @@
 
 
 class Answered(Record, frozen=True, array_like=True, tag=True, gc=False):
-    """What the node could know of one attempt's end; `wait` is the Retry-After in seconds, 0 for none."""
+    """The end of an attempt, as the node observed it; `wait` is the Retry-After in seconds, 0 for none."""
 
     node: int
     message: int
@@ -73,7 +73,7 @@
 
 
 Result = Literal["delivered", "refused", "failed", "withdrawn", "unheard"]
-"""`withdrawn`: the node knows that its client left; `unheard`: the client left, and the node may not know."""
+"""`withdrawn`: the node knows that the client left; `unheard`: the client left, perhaps unnoticed."""
 
 
 class Ended(Record, frozen=True, array_like=True, tag=True, gc=False):
@@ -107,7 +107,7 @@
 
 
 class NodeState(Record, frozen=True, array_like=True, tag=True, gc=False):
-    """A node's process: `killed` keeps its folder, `lost` does not."""
+    """The state of a node's process. The state directory survives `killed`, but not `lost`."""
 
     node: int
     state: Literal["ready", "stopping", "killed", "lost", "stalled", "awake"]
@@ -142,14 +142,14 @@
     """Write a ledger atomically, compressed where the name ends with `.gz`; raises `OSError`."""
     partial = path.with_name(path.name + ".part")
     encoder = msgspec.json.Encoder()
-    with _open(partial, "wb", packed=path.suffix == ".gz") as file:
+    with _open(partial, "wb", compressed=path.suffix == ".gz") as file:
         for entry in ledger:
             file.write(encoder.encode(entry) + b"\n")
     partial.replace(path)
 
 
-def lines(ledger: Iterable[Entry]) -> Iterator[bytes]:
-    """The ledger's bytes, line by line."""
+def encoded_lines(ledger: Iterable[Entry]) -> Iterator[bytes]:
+    """The ledger in the form of its file, line by line."""
     encoder = msgspec.json.Encoder()
     return (encoder.encode(entry) for entry in ledger)
 
@@ -157,22 +157,22 @@
 def read(path: Path) -> Ledger:
     """Read a whole ledger; raises `OSError`, or `ValueError` with the number of the line at fault."""
     decoder: msgspec.json.Decoder[Entry] = msgspec.json.Decoder(Entry)
-    found: Ledger = []
-    with _open(path, "rb", packed=path.suffix == ".gz") as file:
+    ledger: Ledger = []
+    with _open(path, "rb", compressed=path.suffix == ".gz") as file:
         for number, line in enumerate(file, 1):
             try:
-                found.append(decoder.decode(line))
+                ledger.append(decoder.decode(line))
             except msgspec.MsgspecError as error:
                 raise ValueError(f"{path}:{number}: {error}") from None
-    return found
+    return ledger
 
 
 @contextmanager
-def _open(path: Path, mode: Literal["rb", "wb"], *, packed: bool) -> Iterator[IO[bytes]]:
+def _open(path: Path, mode: Literal["rb", "wb"], *, compressed: bool) -> Iterator[IO[bytes]]:
     with path.open(mode) as raw:
-        if not packed:
+        if not compressed:
             yield raw
             return
-        # No name and no time in the head: the same ledger is the same file.
+        # No name and no time in the gzip header: equal ledgers give equal files.
         with gzip.GzipFile("", mode, 5, raw, mtime=0) as file:
             yield file  # type: ignore[misc]
--- a/irisstack/lab/limits.py
+++ b/irisstack/lab/limits.py
@@ -1,4 +1,4 @@
-"""A destination's limit: how many calls it takes from all senders together. Pure; the clock is handed in."""
+"""Call limits of a destination, over all senders together. The caller passes the time."""
 
 from typing import Protocol
 
@@ -6,97 +6,99 @@
 
 
 class Limiter(Protocol):
-    """Takes calls or tells how long there is no room."""
+    """Admits calls, or says how long to wait."""
 
     factor: float
-    """The part of the limit that is in force; troubles lower it."""
+    """The share of the limit that is in force; troubles lower it."""
 
-    def take(self, now: float) -> float:
-        """0.0 if the call is taken, else the seconds until there is room."""
+    def acquire(self, now: float) -> float:
+        """Admit a call and return 0.0, or return the seconds until the next call is admitted."""
 
-    def room(self, now: float) -> float:
-        """Calls that it would take now."""
+    def available_calls(self, now: float) -> float:
+        """Calls that would be admitted now."""
 
-    def left(self, now: float) -> float:
-        """The share of the limit that is left, from 0 to 1."""
+    def available_share(self, now: float) -> float:
+        """The unused share of the limit, from 0 to 1."""
 
 
-class RateLimiter:
-    """A plain rate: tokens that come back evenly, a second's worth at most."""
+class TokenBucketLimiter:
+    """A token bucket that is refilled at a constant rate and holds the tokens of one second."""
 
-    def __init__(self, rate: float, refused_use_it: bool) -> None:
+    def __init__(self, rate: float, count_rejected: bool) -> None:
         self.factor = 1.0
         self._rate = rate
-        self._refused_use_it = refused_use_it
-        self._tokens = self._most
-        self._at = 0.0
+        self._count_rejected = count_rejected
+        self._tokens = self._max_calls
+        self._updated_at = 0.0
 
     @property
-    def _most(self) -> float:
+    def _max_calls(self) -> float:
         return max(1.0, self._rate * self.factor)
 
     def _refill(self, now: float) -> None:
-        self._tokens = min(self._most, self._tokens + (now - self._at) * self._rate * self.factor)
-        self._at = now
+        self._tokens = min(
+            self._max_calls, self._tokens + (now - self._updated_at) * self._rate * self.factor
+        )
+        self._updated_at = now
 
-    def take(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         self._refill(now)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
             return 0.0
-        if self._refused_use_it:
-            # Bounded: however many calls are refused, a second without any gives room again.
-            self._tokens = max(1.0 - self._most, self._tokens - 1.0)
+        if self._count_rejected:
+            # Bounded, so that after any number of rejected calls one second without calls restores a token.
+            self._tokens = max(1.0 - self._max_calls, self._tokens - 1.0)
         return (1.0 - self._tokens) / (self._rate * self.factor)
 
-    def room(self, now: float) -> float:
+    def available_calls(self, now: float) -> float:
         self._refill(now)
         return self._tokens
 
-    def left(self, now: float) -> float:
-        return max(0.0, min(1.0, self.room(now) / self._most))
+    def available_share(self, now: float) -> float:
+        return max(0.0, min(1.0, self.available_calls(now) / self._max_calls))
 
 
-class SpanLimiter:
-    """A count in each span of fixed length."""
+class FixedWindowLimiter:
+    """A number of calls in each time window of fixed length."""
 
-    def __init__(self, rate: float, span: float, refused_use_it: bool) -> None:
+    def __init__(self, rate: float, window: float, count_rejected: bool) -> None:
         self.factor = 1.0
-        self._count = rate * span
-        self._span = span
-        self._refused_use_it = refused_use_it
+        self._full_count = rate * window
+        self._window = window
+        self._count_rejected = count_rejected
         self._used = 0.0
-        self._ends = span
+        self._window_end = window
 
     @property
-    def _most(self) -> float:
-        return max(1.0, self._count * self.factor)
-
-    def _roll(self, now: float) -> None:
-        if now >= self._ends:
-            # What was refused above the count may be charged to the next span, half of it at the most.
-            self._used = min(max(0.0, self._used - self._most), self._most / 2.0)
-            self._ends = (now // self._span + 1.0) * self._span
-
-    def take(self, now: float) -> float:
-        self._roll(now)
-        if self._used + 1.0 <= self._most:
+    def _max_calls(self) -> float:
+        return max(1.0, self._full_count * self.factor)
+
+    def _advance(self, now: float) -> None:
+        if now >= self._window_end:
+            # Rejected calls beyond the limit may count towards the next window, up to half of its limit.
+            self._used = min(max(0.0, self._used - self._max_calls), self._max_calls / 2.0)
+            self._window_end = (now // self._window + 1.0) * self._window
+
+    def acquire(self, now: float) -> float:
+        self._advance(now)
+        if self._used + 1.0 <= self._max_calls:
             self._used += 1.0
             return 0.0
-        if self._refused_use_it:
+        if self._count_rejected:
             self._used += 1.0
-        return self._ends - now
+        return self._window_end - now
 
-    def room(self, now: float) -> float:
-        self._roll(now)
-        return self._most - self._used
+    def available_calls(self, now: float) -> float:
+        self._advance(now)
+        return self._max_calls - self._used
 
-    def left(self, now: float) -> float:
-        return max(0.0, self.room(now) / self._most)
+    def available_share(self, now: float) -> float:
+        return max(0.0, self.available_calls(now) / self._max_calls)
 
 
-def limiter(limit: Limit, rate: float) -> Limiter:
-    """The limiter that a scenario asks for, at a rate in calls a second."""
+def make_limiter(limit: Limit, rate: float) -> Limiter:
+    """The limiter for a scenario's limit, at a rate in calls a second."""
     if limit.form == "span":
-        return SpanLimiter(rate, limit.span_s, limit.refused_use_it)
-    return RateLimiter(rate, limit.refused_use_it)
+        return FixedWindowLimiter(rate, limit.span_s, limit.refused_use_it)
+    return TokenBucketLimiter(rate, limit.refused_use_it)
--- a/irisstack/lab/results.py
+++ b/irisstack/lab/results.py
@@ -1,4 +1,4 @@
-"""A run as a result: figures, verdict and ledger in a folder of its own."""
+"""The result of a run: its metrics, and its directory with scenario, metrics and ledger."""
 
 import platform
 from collections.abc import Sequence
@@ -11,21 +11,24 @@
 
 from irisstack.lab import ledger as records
 from irisstack.lab.audit import rules, scoring
-from irisstack.lab.audit.figures import Figures, figures_of
+from irisstack.lab.audit.parameters import AuditParameters, audit_parameters
 from irisstack.lab.scenario import Scenario
 from irisstack.lab.world import World
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-LONGEST_MS = 3_600_000
-DIGITS = 3
+MAX_DELAY_MS = 3_600_000
+"""Longest delay in the histogram, in milliseconds; longer ones count as this."""
+SIGNIFICANT_DIGITS = 3
+"""Significant digits of the histogram."""
 LIBRARIES = ("numpy", "scipy", "msgspec", "gevent")
+"""Libraries whose versions are recorded with the results."""
 
 
 class Run(msgspec.Struct):
-    """One run in figures. Worth is a share from 0 to 1, times are seconds."""
+    """The metrics of one run. Worth is a share from 0 to 1; times are in seconds."""
 
     way: str
-    """`model` in virtual time, `sockets` with real processes."""
+    """`model`: in virtual time; `sockets`: with real processes on real sockets."""
     scenario: str
     variant: str
     policy: str
@@ -49,39 +52,39 @@
     events: int
     versions: dict[str, str]
     fingerprint: str = ""
-    """Of scenario and variant; runs with another one are not compared."""
+    """Hash of the variant's scenario and policy; runs with different ones are not compared."""
     partial: bool = False
-    """It was interrupted: what is here covers the time until then."""
+    """The run was interrupted; the metrics cover the time until then."""
     not_a_result: str = ""
-    """Why it must not be taken for a measurement; empty if it may."""
+    """Why the run is not a valid measurement; empty if it is."""
 
     @property
     def rules_kept(self) -> bool:
         return not any(self.breaches.values())
 
 
-def versions() -> dict[str, str]:
-    """What the figures were taken with."""
-    found = {"python": platform.python_version()}
+def installed_versions() -> dict[str, str]:
+    """Versions of Python, this program and the libraries."""
+    by_name = {"python": platform.python_version()}
     for name in ("irisstack", *LIBRARIES):
         try:
-            found[name] = version(name)
+            by_name[name] = version(name)
         except PackageNotFoundError:
-            found[name] = "unknown"
-    return found
+            by_name[name] = "unknown"
+    return by_name
 
 
 def percentiles(delays: Sequence[float]) -> list[float]:
-    """Seconds at each of `PERCENTILES`, to a millisecond; nothing for nothing."""
+    """Seconds at each of `PERCENTILES`, to a millisecond; empty without delays."""
     if not delays:
         return []
-    histogram = HdrHistogram(1, LONGEST_MS, DIGITS)
+    histogram = HdrHistogram(1, MAX_DELAY_MS, SIGNIFICANT_DIGITS)
     for delay in delays:
-        histogram.record_value(max(1, min(LONGEST_MS, round(delay * 1000.0))))
+        histogram.record_value(max(1, min(MAX_DELAY_MS, round(delay * 1000.0))))
     return [histogram.get_value_at_percentile(percent) / 1000.0 for percent in PERCENTILES]
 
 
-def audited(
+def audit_run(
     world: World,
     entries: records.Ledger,
     *,
@@ -92,40 +95,40 @@
     cpu_s: float = 0.0,
     events: int = 0,
 ) -> tuple[Run, scoring.RunScore, dict[str, list[rules.Breach]]]:
-    """A ledger's figures and what broke which rule."""
-    figures: Figures = figures_of(world)
-    found = rules.index(entries)
-    breaches = rules.check(found, figures)
-    got = scoring.score(found, figures)
+    """Audit a ledger; returns the metrics, the score and the breaches of each rule."""
+    parameters: AuditParameters = audit_parameters(world)
+    index = rules.build_index(entries)
+    breaches = rules.check(index, parameters)
+    run_score = scoring.score(index, parameters)
     run = Run(
         way,
         world.scenario.scenario.name,
         variant or policy,
         policy,
         seed,
-        got.score,
-        got.whole,
-        got.worst_window,
-        got.worst_class,
-        got.by_class,
-        got.ends,
-        got.ends_by_class,
-        got.asked,
-        got.attempts,
-        got.waste,
+        run_score.score,
+        run_score.whole,
+        run_score.worst_window,
+        run_score.worst_class,
+        run_score.by_class,
+        run_score.ends,
+        run_score.ends_by_class,
+        run_score.asked,
+        run_score.attempts,
+        run_score.waste,
         {name: len(broken) for name, broken in breaches.items()},
-        rules.effects_twice(found, figures),
-        len(found.overloads),
-        {name: percentiles(delays) for name, delays in got.delays.items()},
+        rules.count_duplicate_effects(index, parameters),
+        len(index.overloads),
+        {name: percentiles(delays) for name, delays in run_score.delays.items()},
         cpu_s,
         events,
-        versions(),
+        installed_versions(),
     )
-    return run, got, breaches
+    return run, run_score, breaches
 
 
 def save(folder: Path, scenario: Scenario, run: Run, entries: records.Ledger) -> None:
-    """Keep a run: scenario, figures and ledger. Raises `OSError`."""
+    """Save a run's scenario, metrics and ledger; raises `OSError`."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "scenario.json").write_bytes(_json(scenario.model_dump()))
     records.write(folder / "ledger.jsonl.gz", entries)
@@ -133,7 +136,7 @@
 
 
 def load(folder: Path) -> Run:
-    """A kept run; raises `OSError` or `ValueError`."""
+    """Load a saved run; raises `OSError` or `ValueError`."""
     try:
         return msgspec.json.decode((folder / "run.json").read_bytes(), type=Run)
     except msgspec.MsgspecError as error:
