--- a/benchmarks/owed_messages.py
+++ b/benchmarks/owed_messages.py
@@ -51,7 +51,7 @@
     return max(LEAST_DISK_BYTES, messages * ROOM_A_MESSAGE)
 
 
-def fill(folder: Path, messages: int) -> None:
+def write_pending_messages(folder: Path, messages: int) -> None:
     """Put so many messages owed on record, as a node does that takes them on."""
     store = Store(folder, disk_bytes(messages))
     now = store.clock.now()
@@ -98,7 +98,7 @@
         MeasuredNode(Path(folder), NOWHERE, {}, settings(), disk_bytes(messages) / 1e6) as node,
     ):
         with ProcessPoolExecutor(max_workers=1, mp_context=get_context("spawn")) as pool:
-            pool.submit(fill, node.state, messages).result()
+            pool.submit(write_pending_messages, node.state, messages).result()
         on_disk = sum(path.stat().st_size for path in node.state.iterdir())
         ready = node.start()
         began = time.monotonic()
--- a/irisstack/lab/faults/rig.py
+++ b/irisstack/lab/faults/rig.py
@@ -118,7 +118,7 @@
         """Let the wall clock be so far ahead of the true one; below zero it is behind."""
         _OFFSET.pack_into(self._control, 0, round(seconds * NANOSECONDS))
 
-    def fail(self, *rules: Rule) -> None:
+    def set_rules(self, *rules: Rule) -> None:
         """Have these rules in force, in place of those before; the first that fits a call counts."""
         if len(rules) > MOST_RULES:
             raise ValueError(f"{MOST_RULES} rules at most, not {len(rules)}")
--- a/tests/lab/capacity/test_measurements.py
+++ b/tests/lab/capacity/test_measurements.py
@@ -55,7 +55,7 @@
 
 
 def test_a_filled_folder_owes_what_it_was_filled_with(tmp_path: Path) -> None:
-    owed_messages.fill(tmp_path, 2_500)
+    owed_messages.write_pending_messages(tmp_path, 2_500)
     store = Store(tmp_path, owed_messages.disk_bytes(2_500))
     assert sum(entry.pending for entry in store.entries.values()) == 2_500
     store.close()
--- a/tests/node/fault_soak.py
+++ b/tests/node/fault_soak.py
@@ -222,7 +222,7 @@
     def _set_rules(self, *rules: Rule) -> None:
         """Replace the rig's active rules."""
         self.fails_reads = False
-        self._rig.fail(*rules)
+        self._rig.set_rules(*rules)
         self.fails_reads = any(rule.call is SystemCall.RECEIVE and rule.error for rule in rules)
 
     def _record_fault(self, description: str) -> None:
--- a/tests/node/test_system_faults.py
+++ b/tests/node/test_system_faults.py
@@ -23,7 +23,7 @@
 def test_answer_sent_in_pieces_arrives(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
-        rig.fail(Rule(SystemCall.SEND, DescriptorKind.CLIENT, limit=7))
+        rig.set_rules(Rule(SystemCall.SEND, DescriptorKind.CLIENT, limit=7))
         statuses = [node.submit(f"m{number}").status for number in range(5)]
         assert statuses == [202] * 5
         assert rig.hits() > 5
@@ -33,7 +33,7 @@
 def test_answer_arrives_after_send_buffer_was_full(tmp_path: Path, request_kind: str) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
-        rig.fail(
+        rig.set_rules(
             Rule(SystemCall.SEND, DescriptorKind.CLIENT, limit=9, count=1),
             Rule(SystemCall.SEND, DescriptorKind.CLIENT, errno.EAGAIN, count=1),
         )
@@ -49,11 +49,11 @@
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         assert node.submit("pending", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
-        rig.fail(DISK_FULL)
+        rig.set_rules(DISK_FULL)
         rejected = node.submit("rejected", "unsafe")
         assert rejected.status == 503
         assert rejected.headers["retry-after"]
-        rig.fail()
+        rig.set_rules()
         eventually(lambda: node.submit("accepted", "unsafe").status == 202, "an accepted message")
         eventually(lambda: node.counters().get("delivered") == 2, "the deliveries")
         node.kill()
@@ -71,7 +71,7 @@
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("before", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
-        rig.fail(
+        rig.set_rules(
             Rule(
                 SystemCall.WRITE, DescriptorKind.FOLDER, limit=written_bytes, count=1 if written_bytes else 0
             ),
@@ -93,12 +93,12 @@
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         assert node.submit("before", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
-        rig.fail(Rule(SystemCall.WRITE, DescriptorKind.FOLDER, KILL, limit=written_bytes))
+        rig.set_rules(Rule(SystemCall.WRITE, DescriptorKind.FOLDER, KILL, limit=written_bytes))
         with contextlib.suppress(OSError):
             node.submit("killed", "unsafe")
         assert node.process is not None
         assert node.process.wait(TIMEOUT_S) == -signal.SIGKILL
-        rig.fail()
+        rig.set_rules()
         endpoint.script[:] = [http_response(200)]
         node.start()
         assert node.counters()["recovered"] == 1
@@ -111,7 +111,7 @@
         accepted_at = time.monotonic()
         assert node.submit("m1", "unsafe", X_Timeout="1.500").status == 202
         eventually(lambda: endpoint.requests, "the call")
-        rig.fail(DISK_FULL)
+        rig.set_rules(DISK_FULL)
         assert eventually(lambda: platform.notice_for("m1"), "the notice")["result"] == "dead"
         assert time.monotonic() - accepted_at <= 1.5 + 0.3 + 0.5
         node.kill()
@@ -124,10 +124,10 @@
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         assert node.submit("m1", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
-        rig.fail(DISK_FULL)
+        rig.set_rules(DISK_FULL)
         time.sleep(1.0)
         assert len(endpoint.requests) == 1
-        rig.fail()
+        rig.set_rules()
         eventually(lambda: node.counters().get("delivered"), "the delivery")
         assert not platform.notices
 
@@ -136,10 +136,10 @@
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
         node.kill()
-        rig.fail(DISK_FULL, Rule(SystemCall.OPEN, error=errno.ENOSPC))
+        rig.set_rules(DISK_FULL, Rule(SystemCall.OPEN, error=errno.ENOSPC))
         node.start()
         assert node.submit("m1").status == 503
-        rig.fail()
+        rig.set_rules()
         eventually(lambda: node.submit("m2").status == 202, "an accepted message")
         eventually(lambda: node.counters().get("delivered"), "the delivery")
 
@@ -147,10 +147,10 @@
 def test_node_survives_full_disk_of_its_log(tmp_path: Path) -> None:
     endpoint = ScriptedEndpoint(http_response(200))
     with node_with_faults(tmp_path, endpoint) as (node, _, rig):
-        rig.fail(Rule(SystemCall.WRITE, DescriptorKind.FILE, errno.ENOSPC))
+        rig.set_rules(Rule(SystemCall.WRITE, DescriptorKind.FILE, errno.ENOSPC))
         assert node.submit("m1").status == 503
         assert rig.hits() > 1
-        rig.fail()
+        rig.set_rules()
         assert "folder_not_written" not in node.log.read_text()
         eventually(lambda: node.submit("m2").status == 202, "an accepted message")
         assert node.terminate() == 0
@@ -163,7 +163,7 @@
 def test_clients_are_answered_after_failed_accepts(tmp_path: Path, error: int) -> None:
     """Clients wait 0.4 s for an answer; six accepts in a row fail."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
-        rig.fail(Rule(SystemCall.ACCEPT, error=error, count=6))
+        rig.set_rules(Rule(SystemCall.ACCEPT, error=error, count=6))
         started_at = time.monotonic()
         assert node.submit("m1").status == 202
         assert time.monotonic() - started_at < 0.4
@@ -175,14 +175,14 @@
     """Closing the listening socket over its backlog would reset connections whose requests are sent."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         assert node.process is not None
-        rig.fail(Rule(SystemCall.ACCEPT, error=error))
+        rig.set_rules(Rule(SystemCall.ACCEPT, error=error))
         clients = [node.connect() for _ in range(5)]
         for number, client in enumerate(clients):
             client.send(message_request(f"m{number}"))
         node.process.send_signal(signal.SIGTERM)
         time.sleep(0.7)
         assert rig.hits() > 0
-        rig.fail(Rule(SystemCall.ACCEPT, error=error, count=3))
+        rig.set_rules(Rule(SystemCall.ACCEPT, error=error, count=3))
         assert [client.read_response().status for client in clients] == [503] * 5
         assert node.process.wait(TIMEOUT_S) == 0
 
@@ -205,7 +205,7 @@
 ) -> None:
     """Nor do they use up attempts: each connect fails several times, and the messages wait for it."""
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, platform, rig):
-        rig.fail(Rule(system_call, error=error, count=40))
+        rig.set_rules(Rule(system_call, error=error, count=40))
         for number in range(8):
             assert node.submit(f"m{number}", "unsafe", X_Timeout="5.000").status == 202
         eventually(lambda: node.counters().get("delivered") == 8, "the deliveries")
@@ -217,7 +217,7 @@
 
 def test_interrupted_system_calls_are_resumed(tmp_path: Path) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
-        rig.fail(Rule(SystemCall.WAIT, error=errno.EINTR, count=200))
+        rig.set_rules(Rule(SystemCall.WAIT, error=errno.EINTR, count=200))
         for number in range(10):
             assert node.submit(f"m{number}").status == 202
         eventually(lambda: node.counters().get("delivered") == 10, "the deliveries")
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize("descriptor", [DescriptorKind.CLIENT, DescriptorKind.PEER])
 def test_reads_and_writes_of_single_bytes_work(tmp_path: Path, descriptor: DescriptorKind) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, platform, rig):
-        rig.fail(
+        rig.set_rules(
             Rule(SystemCall.SEND, descriptor, limit=1),
             Rule(SystemCall.RECEIVE, descriptor, limit=1),
         )
@@ -246,11 +246,11 @@
     endpoint = ScriptedEndpoint(None)
     with node_with_faults(tmp_path, endpoint) as (node, platform, rig):
         eventually(lambda: platform.watchers, "the watch")
-        rig.fail(Rule(SystemCall.RECEIVE, DescriptorKind.PEER, error))
+        rig.set_rules(Rule(SystemCall.RECEIVE, DescriptorKind.PEER, error))
         assert node.submit("m1", "unsafe").status == 202
         counter = f"ended_reset_{errno.errorcode[error]}"
         eventually(lambda: node.counters().get(counter) == 1, "the end of the call")
-        rig.fail()
+        rig.set_rules()
         assert eventually(lambda: platform.notice_for("m1"), "the notice")["result"] == "dead"
         assert len(endpoint.requests) == 1
 
@@ -264,7 +264,7 @@
         assert node.submit("m1", "unsafe").status == 202
         eventually(lambda: node.counters().get("ended_full"), "the end of the first call")
         node.kill()
-        rig.fail(Rule(SystemCall.READ, DescriptorKind.FOLDER, errno.EIO, count=3))
+        rig.set_rules(Rule(SystemCall.READ, DescriptorKind.FOLDER, errno.EIO, count=3))
         node.start()
         assert rig.hits() == 3
         assert node.counters()["recovered"] == 1
@@ -274,7 +274,7 @@
 def test_start_retries_failed_sockets(tmp_path: Path, error: int) -> None:
     with node_with_faults(tmp_path, ScriptedEndpoint(http_response(200))) as (node, _, rig):
         node.kill()
-        rig.fail(Rule(SystemCall.SOCKET, error=error, count=4))
+        rig.set_rules(Rule(SystemCall.SOCKET, error=error, count=4))
         node.start()
         assert node.submit("m1").status == 202
         eventually(lambda: node.counters().get("delivered"), "the delivery")
