--- a/benchmarks/list_reader.py
+++ b/benchmarks/list_reader.py
@@ -22,28 +22,28 @@
 from irisstack.node.list_reader import ListReader
 
 RESULTS = Path(__file__).resolve().parents[1] / "docs" / "measurements" / "capacity"
-DESTINATIONS = (100, 1_000, 10_000, 100_000)
+DESTINATION_COUNTS = (100, 1_000, 10_000, 100_000)
 
 
 def measure(destinations: int) -> Mapping[str, float]:
     """Read a whole list twice: once for the memory that is kept of it, once for the time."""
     world = world_of(destinations)
     platform = Platform(RunContext(world), addresses_of(world))
-    document = json.dumps(platform.known()).encode()
+    list_document = json.dumps(platform.known()).encode()
     platform.stop()
     reader = ListReader(decision_settings(world, 0))
     gc.collect()
     tracemalloc.start()
-    reader.parse_update(json.loads(document))
+    reader.parse_update(json.loads(list_document))
     gc.collect()
-    kept, peak = tracemalloc.get_traced_memory()
+    retained_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    began = time.process_time()
-    reader.parse_update(json.loads(document))
+    started_at = time.process_time()
+    reader.parse_update(json.loads(list_document))
     return {
-        "list-reader-memory": kept,
-        "list-reader-peak": peak,
-        "list-reader-processor": time.process_time() - began,
+        "list-reader-memory": retained_bytes,
+        "list-reader-peak": peak_bytes,
+        "list-reader-processor": time.process_time() - started_at,
     }
 
 
@@ -55,7 +55,7 @@
         MeasuredSlope("list-reader-peak", "most memory while the reader reads a whole list", "bytes"),
         MeasuredSlope("list-reader-processor", "processor time of the reader for a whole list", "seconds"),
     ),
-    DESTINATIONS,
+    DESTINATION_COUNTS,
     3,
     measure,
     "tracemalloc for memory; JSON parsing and the reader, without the stream of bytes; one endpoint a "
@@ -66,12 +66,12 @@
 
 def main() -> int:
     """Measure at every size and write the result files."""
-    for slope in runner.run(MEASUREMENT, _progress):
+    for slope in runner.run(MEASUREMENT, _print_progress):
         print(result.save(RESULTS, slope))
     return 0
 
 
-def _progress(size: int, run: int) -> None:
+def _print_progress(size: int, run: int) -> None:
     print(f"size {size:,}, run {run}", file=sys.stderr)
 
 
--- a/benchmarks/owed_messages.py
+++ b/benchmarks/owed_messages.py
@@ -28,53 +28,53 @@
 from irisstack.node.store import Entry, Store
 
 RESULTS = Path(__file__).resolve().parents[1] / "docs" / "measurements" / "capacity"
-MESSAGES = (1_000, 10_000, 100_000, 1_000_000)
+MESSAGE_COUNTS = (1_000, 10_000, 100_000, 1_000_000)
 MESSAGE_CLASS = "warning-notice"
-DESTINATIONS = 1_000
+DESTINATION_COUNT = 1_000
 BODY = b"x" * 200
-AIM_S, DEADLINE_S = 1e5, 1e6
-NO_LIMIT = 100_000_000
-ROOM_A_MESSAGE = 2_000
+LATENCY_TARGET_S, DEADLINE_S = 1e5, 1e6
+MAX_PENDING_MESSAGES = 100_000_000
+DISK_BYTES_PER_MESSAGE = 2_000
 """Bytes of the folder's limit for each message: five twelfths of it are kept free."""
-LEAST_DISK_BYTES = 16_000_000
-CROWDED_ROOM_A_MESSAGE = 1_000
+MIN_DISK_BYTES = 16_000_000
+COMPACTION_DISK_BYTES_PER_MESSAGE = 1_000
 """The same where the folder is to be crowded: a message's record is about half of it."""
-RECORDS_A_WRITE = 1_000
-PASSING_A_WRITE = 10
-PART_WRITTEN = 0.8
+RECORDS_PER_WRITE = 1_000
+FINISHED_MESSAGES_PER_WRITE = 10
+WRITTEN_SHARE = 0.8
 """Of the folder's limit that is written beside what is owed, so that several segments are freed."""
-NOWHERE = "127.0.0.1:9"
+UNREACHABLE_ADDRESS = "127.0.0.1:9"
 
 
 def disk_bytes(messages: int) -> int:
     """A limit of the folder in which so many messages find room."""
-    return max(LEAST_DISK_BYTES, messages * ROOM_A_MESSAGE)
+    return max(MIN_DISK_BYTES, messages * DISK_BYTES_PER_MESSAGE)
 
 
-def write_pending_messages(folder: Path, messages: int) -> None:
+def write_pending_messages(directory: Path, messages: int) -> None:
     """Put so many messages owed on record, as a node does that takes them on."""
-    store = Store(folder, disk_bytes(messages))
+    store = Store(directory, disk_bytes(messages))
     now = store.clock.now()
-    _take_all(store, messages, now)
+    _accept_all(store, messages, now)
     store.close()
 
 
-def _take_all(store: Store, messages: int, now: float) -> None:
-    for start in range(1, messages + 1, RECORDS_A_WRITE):
-        numbers = range(start, min(start + RECORDS_A_WRITE, messages + 1))
-        for number in numbers:
-            store.add(_entry(number, now + DEADLINE_S))
-        store.write([store.accepted_record(number) for number in numbers], now)
+def _accept_all(store: Store, messages: int, now: float) -> None:
+    for start in range(1, messages + 1, RECORDS_PER_WRITE):
+        message_numbers = range(start, min(start + RECORDS_PER_WRITE, messages + 1))
+        for number in message_numbers:
+            store.add(_new_entry(number, now + DEADLINE_S))
+        store.write([store.accepted_record(number) for number in message_numbers], now)
 
 
-def _entry(number: int, due: float) -> Entry:
+def _new_entry(number: int, due: float) -> Entry:
     return Entry(
         number=number,
         id=f"{number:020x}",
         key=f"{number:032x}",
         message_class=MESSAGE_CLASS,
         tenant=0,
-        destination=1 + number % DESTINATIONS,
+        destination=1 + number % DESTINATION_COUNT,
         due=due,
         is_retry=False,
         from_dead_sender=False,
@@ -84,36 +84,38 @@
 
 def settings() -> dict[str, Any]:
     """Settings under which nothing expires and nothing is refused for want of room."""
-    found = node_settings(world_of(1))
-    found["allowed"]["mostHeld"] = NO_LIMIT
-    for lane in found["lanes"]:
-        lane.update(slo=AIM_S, hardLimit=DEADLINE_S)
-    return found
+    settings_document = node_settings(world_of(1))
+    settings_document["allowed"]["mostHeld"] = MAX_PENDING_MESSAGES
+    for class_settings in settings_document["lanes"]:
+        class_settings.update(slo=LATENCY_TARGET_S, hardLimit=DEADLINE_S)
+    return settings_document
 
 
 def measure(messages: int) -> Mapping[str, float]:
     """Start a node that owes so many messages; no list names their destinations, so that none is sent."""
     with (
-        tempfile.TemporaryDirectory(prefix="irisstack-owed-") as folder,
-        MeasuredNode(Path(folder), NOWHERE, {}, settings(), disk_bytes(messages) / 1e6) as node,
+        tempfile.TemporaryDirectory(prefix="irisstack-owed-") as directory,
+        MeasuredNode(
+            Path(directory), UNREACHABLE_ADDRESS, {}, settings(), disk_bytes(messages) / 1e6
+        ) as node,
     ):
         with ProcessPoolExecutor(max_workers=1, mp_context=get_context("spawn")) as pool:
             pool.submit(write_pending_messages, node.state, messages).result()
-        on_disk = sum(path.stat().st_size for path in node.state.iterdir())
-        ready = node.start()
-        began = time.monotonic()
-        if (status := node.ask("POST", f"/{MESSAGE_CLASS}", _headers())) != 202:
+        used_disk_bytes = sum(path.stat().st_size for path in node.state.iterdir())
+        ready_s = node.start()
+        started_at = time.monotonic()
+        if (status := node.ask("POST", f"/{MESSAGE_CLASS}", _request_headers())) != 202:
             raise MeasuredNodeError(f"a message was answered {status}")
-        answered = ready + time.monotonic() - began
+        answered_s = ready_s + time.monotonic() - started_at
         return {
-            "owed-ready": answered,
+            "owed-ready": answered_s,
             "owed-memory": node.memory_bytes(RESIDENT),
             "owed-peak": node.memory_bytes(PEAK_RESIDENT),
-            "owed-disk": on_disk,
+            "owed-disk": used_disk_bytes,
         }
 
 
-def _headers() -> Mapping[str, str]:
+def _request_headers() -> Mapping[str, str]:
     return {
         "X-Request-ID": "probe",
         "X-Timeout": f"{DEADLINE_S - 1.0:.0f}",
@@ -127,31 +129,31 @@
 
     Messages that are delivered at once, and whose time is up, come and go beside those that stay owed.
     """
-    with tempfile.TemporaryDirectory(prefix="irisstack-owed-") as folder:
-        limit = messages * CROWDED_ROOM_A_MESSAGE
-        store = Store(Path(folder), limit)
+    with tempfile.TemporaryDirectory(prefix="irisstack-owed-") as directory:
+        disk_limit = messages * COMPACTION_DISK_BYTES_PER_MESSAGE
+        store = Store(Path(directory), disk_limit)
         now = store.clock.now()
-        _take_all(store, messages, now)
-        number, written, longest = messages + 1, 0, 0.0
-        while written < PART_WRITTEN * limit:
-            records = _come_and_go(store, range(number, number + PASSING_A_WRITE), now)
-            began = time.process_time()
+        _accept_all(store, messages, now)
+        number, written_bytes, longest_s = messages + 1, 0, 0.0
+        while written_bytes < WRITTEN_SHARE * disk_limit:
+            records = _accept_and_deliver(store, range(number, number + FINISHED_MESSAGES_PER_WRITE), now)
+            started_at = time.process_time()
             store.write(records, now)
-            longest = max(longest, time.process_time() - began)
+            longest_s = max(longest_s, time.process_time() - started_at)
             store.drop_expired(now)
-            number += PASSING_A_WRITE
-            written += sum(len(record) for record in records)
+            number += FINISHED_MESSAGES_PER_WRITE
+            written_bytes += sum(len(record) for record in records)
         store.close()
-    return {"owed-compaction": longest}
+    return {"owed-compaction": longest_s}
 
 
-def _come_and_go(store: Store, numbers: range, now: float) -> list[bytes]:
+def _accept_and_deliver(store: Store, message_numbers: range, now: float) -> list[bytes]:
     """The records of messages that are taken on and delivered in one turn."""
-    for number in numbers:
-        store.add(_entry(number, now - 1.0))
+    for number in message_numbers:
+        store.add(_new_entry(number, now - 1.0))
     return [
         record
-        for number in numbers
+        for number in message_numbers
         for record in (store.accepted_record(number), store.finish(number, "delivered"))
     ]
 
@@ -160,7 +162,7 @@
     "owed-compaction",
     "messages owed",
     (MeasuredSlope("owed-compaction", "standstill of a node while it frees a segment", "seconds"),),
-    MESSAGES,
+    MESSAGE_COUNTS,
     1,
     measure_compaction,
     f"processor time of the longest write of the lasting folder; bodies of {len(BODY)} bytes, half of the "
@@ -176,7 +178,7 @@
         MeasuredSlope("owed-peak", "most memory of a node that starts with messages owed", "bytes"),
         MeasuredSlope("owed-disk", "lasting folder with messages owed", "bytes"),
     ),
-    MESSAGES,
+    MESSAGE_COUNTS,
     3,
     measure,
     f"a real process; bodies of {len(BODY)} bytes; messages taken on and not yet sent; no list",
@@ -192,15 +194,15 @@
 
 def main() -> int:
     """Measure what the arguments name, or all, and write the result files."""
-    wanted = sys.argv[1:] or [measurement.name for measurement in MEASUREMENTS]
+    selected_names = sys.argv[1:] or [measurement.name for measurement in MEASUREMENTS]
     for measurement in MEASUREMENTS:
-        if measurement.name in wanted:
-            for slope in runner.run(measurement, _progress):
+        if measurement.name in selected_names:
+            for slope in runner.run(measurement, _print_progress):
                 print(result.save(RESULTS, slope))
     return 0
 
 
-def _progress(size: int, run: int) -> None:
+def _print_progress(size: int, run: int) -> None:
     print(f"size {size:,}, run {run}", file=sys.stderr)
 
 
--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -34,15 +34,15 @@
 from irisstack.node.settings_watch import SettingsWatch
 
 PREFIX = "/irisstack/settings/"
-BYTES_PER_S = 11_000.0
+BYTE_BUDGET_PER_S = 11_000.0
 KIB = 1024
 ITEM_BYTES = 256
-READY_WITHIN_S = 120.0
+READY_TIMEOUT_S = 120.0
 START_SPREAD_S = 4.0
-SETTLE_S = 5.0
-LAST_CHANGE_S = 5.0
+SETTLE_WAIT_S = 5.0
+LAST_CHANGE_WAIT_S = 5.0
 """Seconds that the last change of a phase is given before the phase is summed up."""
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -55,7 +55,7 @@
     resident_bytes: int
 
 
-def usage() -> Usage:
+def current_usage() -> Usage:
     """Of this process; raises `OSError` elsewhere than on Linux."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return Usage(time.monotonic(), time.process_time(), pages * PAGE_BYTES)
@@ -64,12 +64,12 @@
 # ---- the members' process ----
 
 
-class Writer:
+class ChangeWriter:
     """Writes a change now and then, and remembers when."""
 
     def __init__(self, server: EtcdServer, document_bytes: int, item_bytes: int) -> None:
         self.changes: dict[int, float] = {}
-        self.every_s: float | None = None
+        self.interval_s: float | None = None
         self._cluster = server.cluster
         self._size = FleetSize(0, document_bytes, min(item_bytes, document_bytes))
         self._document = Document(self._size)
@@ -83,8 +83,8 @@
     def run(self) -> None:
         """Write a change each time the pause is over, while there is a pause."""
         while True:
-            gevent.sleep(self.every_s or LOOK_S)
-            if self.every_s is not None:
+            gevent.sleep(self.interval_s or POLL_INTERVAL_S)
+            if self.interval_s is not None:
                 path = self._document.path(self._written * 7)
                 self._written += 1
                 at = time.monotonic()
@@ -94,48 +94,48 @@
 def serve_members(arguments: argparse.Namespace) -> None:
     """Serve until standard input ends; a line that is a number is the seconds between changes, 0 for none."""
     with EtcdServer(MEMBERS) as server:
-        writer = Writer(server, arguments.document_bytes, arguments.item_bytes)
-        revision = writer.write_all()
-        say(addresses=server.addresses, revision=revision)
-        writing = gevent.spawn(writer.run)
+        change_writer = ChangeWriter(server, arguments.document_bytes, arguments.item_bytes)
+        revision = change_writer.write_all()
+        send_line(addresses=server.addresses, revision=revision)
+        writer_greenlet = gevent.spawn(change_writer.run)
         for line in FileObjectPosix(sys.stdin.fileno(), "rb", close=False):
-            writer.every_s = float(line) or None
+            change_writer.interval_s = float(line) or None
             traffic = [member.traffic for member in server.members]
-            say(
-                usage=asdict(usage()),
-                changes=writer.changes,
-                connects=[each.connects.total for each in traffic],
-                connects_peak=max(each.connects.peak for each in traffic),
-                requests=[each.requests.total for each in traffic],
-                bytes_out=[each.bytes_out.total for each in traffic],
+            send_line(
+                usage=asdict(current_usage()),
+                changes=change_writer.changes,
+                connects=[member_traffic.connects.total for member_traffic in traffic],
+                connects_peak=max(member_traffic.connects.peak for member_traffic in traffic),
+                requests=[member_traffic.requests.total for member_traffic in traffic],
+                bytes_out=[member_traffic.bytes_out.total for member_traffic in traffic],
                 watches=[member.watches for member in server.members],
             )
-        writing.kill()
+        writer_greenlet.kill()
 
 
 # ---- the nodes' process ----
 
 
 @dataclass(slots=True, frozen=True)
-class Taken:
+class AcceptedDocument:
     """What the check makes of a document: nothing more is done with it here."""
 
     retired: Mapping[str, Any] = field(default_factory=dict)
 
 
-def take(items: Mapping[str, Any]) -> Taken:
+def accept(items: Mapping[str, Any]) -> AcceptedDocument:
     """Accept any document."""
-    return Taken()
+    return AcceptedDocument()
 
 
-class Applied:
+class AppliedRevisions:
     """Which revisions are in force at how many nodes, and since when at the last of them."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, int] = {}
         self.last_at: dict[int, float] = {}
 
-    def apply(self, revision: int, taken: Taken) -> None:
+    def apply(self, revision: int, accepted: AcceptedDocument) -> None:
         self.nodes[revision] = self.nodes.get(revision, 0) + 1
         self.last_at[revision] = time.monotonic()
 
@@ -144,30 +144,37 @@
     """Run so many nodes until standard input ends; each line is answered with what came of them so far."""
     logs.configure(stream=open(os.devnull, "w"))  # noqa: SIM115  # written to until the process ends
     members = [parse_host_port(address, "members") for address in arguments.members.split(",")]
-    applied, counters, before = Applied(), Counters(), usage()
+    applied_revisions, counters, before = AppliedRevisions(), Counters(), current_usage()
     with tempfile.TemporaryDirectory() as folder:
         for number in range(arguments.count):
             state = Path(folder) / str(number)
             state.mkdir()
             seed = arguments.first + number
             watch = SettingsWatch(
-                members, PREFIX, BYTES_PER_S, SavedSettingsFile(state), take, applied.apply, counters, seed
+                members,
+                PREFIX,
+                BYTE_BUDGET_PER_S,
+                SavedSettingsFile(state),
+                accept,
+                applied_revisions.apply,
+                counters,
+                seed,
             )
             gevent.spawn_later(START_SPREAD_S * number / arguments.count, watch.run)
-        while applied.nodes.get(arguments.revision, 0) < arguments.count:
-            gevent.sleep(LOOK_S)
-        say(ready=True)
+        while applied_revisions.nodes.get(arguments.revision, 0) < arguments.count:
+            gevent.sleep(POLL_INTERVAL_S)
+        send_line(ready=True)
         for _ in FileObjectPosix(sys.stdin.fileno(), "rb", close=False):
-            say(
-                usage=asdict(usage()),
+            send_line(
+                usage=asdict(current_usage()),
                 before=asdict(before),
-                nodes=applied.nodes,
-                last_at=applied.last_at,
+                nodes=applied_revisions.nodes,
+                last_at=applied_revisions.last_at,
                 counters=counters.snapshot(),
             )
 
 
-def say(**fields: object) -> None:
+def send_line(**fields: object) -> None:
     """One line to the process that started this one."""
     sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
@@ -176,25 +183,25 @@
 # ---- the run ----
 
 
-class Worker:
+class ChildProcess:
     """A process that answers lines; it ends with the context."""
 
-    def __init__(self, core: int | None, *words: object) -> None:
-        pinned = ["taskset", "-c", str(core)] if core is not None else []
+    def __init__(self, core: int | None, *role_arguments: object) -> None:
+        taskset_prefix = ["taskset", "-c", str(core)] if core is not None else []
         self._process = subprocess.Popen(
-            [*pinned, sys.executable, __file__, *map(str, words)],
+            [*taskset_prefix, sys.executable, __file__, *map(str, role_arguments)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
         )
 
-    def ask(self, line: str) -> dict[str, Any]:
+    def request(self, line: str) -> dict[str, Any]:
         assert self._process.stdin is not None
         self._process.stdin.write(line + "\n")
         self._process.stdin.flush()
-        return self.hear()
+        return self.receive()
 
-    def hear(self) -> dict[str, Any]:
+    def receive(self) -> dict[str, Any]:
         assert self._process.stdout is not None
         line = self._process.stdout.readline()
         if not line:
@@ -202,11 +209,14 @@
         answer: dict[str, Any] = json.loads(line)
         return answer
 
-    def __enter__(self) -> "Worker":
+    def __enter__(self) -> "ChildProcess":
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         assert self._process.stdin is not None
         self._process.stdin.close()
@@ -262,95 +272,114 @@
 def measure(nodes: int, document_bytes: int, arguments: argparse.Namespace) -> Run:
     """One run: the nodes start, a quiet phase, a phase with changes."""
     sizes = ["--document-bytes", document_bytes, "--item-bytes", arguments.item_bytes]
-    with Worker(arguments.member_core, "members", *sizes) as members:
-        begun = members.hear()
-        shares = [nodes // arguments.processes] * arguments.processes
-        shares[0] += nodes - sum(shares)
-        with _Nodes(shares, begun, arguments.node_core) as workers:
-            for worker in workers:
-                worker.hear()
-            time.sleep(SETTLE_S)
-            first = _sample(members, workers, 0.0)
+    with ChildProcess(arguments.member_core, "members", *sizes) as members:
+        members_ready = members.receive()
+        node_counts = [nodes // arguments.processes] * arguments.processes
+        node_counts[0] += nodes - sum(node_counts)
+        with _NodeProcesses(node_counts, members_ready, arguments.node_core) as processes:
+            for process in processes:
+                process.receive()
+            time.sleep(SETTLE_WAIT_S)
+            first = _take_sample(members, processes, 0.0)
             time.sleep(arguments.seconds)
-            second = _sample(members, workers, arguments.changes_every)
+            second = _take_sample(members, processes, arguments.changes_every)
             time.sleep(arguments.seconds)
-            members.ask("0")
-            time.sleep(LAST_CHANGE_S)
-            third = _sample(members, workers, 0.0)
-    return _run(nodes, document_bytes, (first, second, third))
+            members.request("0")
+            time.sleep(LAST_CHANGE_WAIT_S)
+            third = _take_sample(members, processes, 0.0)
+    return _run_result(nodes, document_bytes, (first, second, third))
 
 
-class _Nodes:
+class _NodeProcesses:
     """The nodes' processes, as one context."""
 
-    def __init__(self, shares: Sequence[int], begun: Mapping[str, Any], core: int | None) -> None:
-        self._workers: list[Worker] = []
+    def __init__(
+        self, node_counts: Sequence[int], members_ready: Mapping[str, Any], core: int | None
+    ) -> None:
+        self._processes: list[ChildProcess] = []
         first = 1
-        for count in shares:
-            words = ["--members", ",".join(begun["addresses"]), "--revision", begun["revision"]]
-            self._workers.append(Worker(core, "nodes", *words, "--count", count, "--first", first))
+        for count in node_counts:
+            role_arguments = [
+                "--members",
+                ",".join(members_ready["addresses"]),
+                "--revision",
+                members_ready["revision"],
+            ]
+            self._processes.append(
+                ChildProcess(core, "nodes", *role_arguments, "--count", count, "--first", first)
+            )
             first += count
 
-    def __enter__(self) -> list[Worker]:
-        return self._workers
+    def __enter__(self) -> list[ChildProcess]:
+        return self._processes
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
-        for worker in self._workers:
-            worker.__exit__(kind, error, trace)
+        for process in self._processes:
+            process.__exit__(exception_type, exception, traceback)
 
 
-def _sample(members: Worker, workers: Sequence[Worker], changes_every: float) -> Sample:
-    answer = members.ask(f"{changes_every:g}")
-    return Sample(answer, [worker.ask("") for worker in workers])
+def _take_sample(members: ChildProcess, processes: Sequence[ChildProcess], changes_every: float) -> Sample:
+    answer = members.request(f"{changes_every:g}")
+    return Sample(answer, [process.request("") for process in processes])
 
 
-def _run(nodes: int, document_bytes: int, samples: tuple[Sample, Sample, Sample]) -> Run:
+def _run_result(nodes: int, document_bytes: int, samples: tuple[Sample, Sample, Sample]) -> Run:
     first, second, third = samples
-    lags, never = _lags(third, nodes)
-    grown = sum(w["usage"]["resident_bytes"] - w["before"]["resident_bytes"] for w in third.nodes)
+    delays, never_applied = _apply_delays(third, nodes)
+    grown_bytes = sum(
+        process["usage"]["resident_bytes"] - process["before"]["resident_bytes"] for process in third.nodes
+    )
     return Run(
         nodes,
         document_bytes,
-        _phase(nodes, first, second),
-        _phase(nodes, second, third),
-        grown / nodes,
-        max(lags, default=0.0),
+        _phase_cost(nodes, first, second),
+        _phase_cost(nodes, second, third),
+        grown_bytes / nodes,
+        max(delays, default=0.0),
         len(third.members["changes"]),
-        never,
+        never_applied,
         third.members["connects_peak"],
-        sum(worker["counters"].get("settings_stale", 0) for worker in third.nodes),
+        sum(process["counters"].get("settings_stale", 0) for process in third.nodes),
     )
 
 
-def _lags(sample: Sample, nodes: int) -> tuple[list[float], int]:
+def _apply_delays(sample: Sample, nodes: int) -> tuple[list[float], int]:
     """The seconds until each change was in force at the last node, and how many never were."""
-    lags, never = [], 0
+    delays, never_applied = [], 0
     for revision, written_at in sample.members["changes"].items():
-        if sum(worker["nodes"].get(revision, 0) for worker in sample.nodes) < nodes:
-            never += 1
+        if sum(process["nodes"].get(revision, 0) for process in sample.nodes) < nodes:
+            never_applied += 1
         else:
-            lags.append(max(w["last_at"][revision] for w in sample.nodes if revision in w["last_at"]))
-            lags[-1] -= written_at
-    return lags, never
+            delays.append(
+                max(
+                    process["last_at"][revision] for process in sample.nodes if revision in process["last_at"]
+                )
+            )
+            delays[-1] -= written_at
+    return delays, never_applied
 
 
-def _phase(nodes: int, before: Sample, after: Sample) -> Phase:
+def _phase_cost(nodes: int, before: Sample, after: Sample) -> Phase:
     seconds = after.members["usage"]["at"] - before.members["usage"]["at"]
-    sent = sum(after.members["bytes_out"]) - sum(before.members["bytes_out"])
+    sent_bytes = sum(after.members["bytes_out"]) - sum(before.members["bytes_out"])
     requests = [
-        now - then for now, then in zip(after.members["requests"], before.members["requests"], strict=True)
+        later - earlier
+        for later, earlier in zip(after.members["requests"], before.members["requests"], strict=True)
     ]
-    used = sum(
-        now["usage"]["processor_s"] - then["usage"]["processor_s"]
-        for now, then in zip(after.nodes, before.nodes, strict=True)
+    node_processor_s = sum(
+        later["usage"]["processor_s"] - earlier["usage"]["processor_s"]
+        for later, earlier in zip(after.nodes, before.nodes, strict=True)
     )
-    of_members = after.members["usage"]["processor_s"] - before.members["usage"]["processor_s"]
+    member_processor_s = after.members["usage"]["processor_s"] - before.members["usage"]["processor_s"]
     return Phase(
-        used / nodes / seconds,
-        of_members / MEMBERS / seconds,
-        sent / nodes / seconds,
+        node_processor_s / nodes / seconds,
+        member_processor_s / MEMBERS / seconds,
+        sent_bytes / nodes / seconds,
         max(requests) / seconds,
     )
 
@@ -391,9 +420,11 @@
 
 def _slopes(runs: Sequence[Run], arguments: argparse.Namespace) -> Iterator[Slope]:
     """The figures against the nodes, or against the document if just that varies."""
-    by_document = len(arguments.nodes) == 1
-    prefix = "settings-loopback-document" if by_document else "settings-loopback"
-    fixed = f"{arguments.nodes[0]} nodes" if by_document else f"a document of {arguments.document_kib[0]} KiB"
+    varies_document = len(arguments.nodes) == 1
+    prefix = "settings-loopback-document" if varies_document else "settings-loopback"
+    fixed = (
+        f"{arguments.nodes[0]} nodes" if varies_document else f"a document of {arguments.document_kib[0]} KiB"
+    )
     notes = (
         f"loopback, {fixed}; the node's actor, {arguments.processes} process(es) of nodes, one of members; "
         f"{arguments.seconds:g} s quiet, {arguments.seconds:g} s with a change every "
@@ -401,21 +432,22 @@
     )
     for figure in FIGURES:
         points = (
-            Point(run.document_bytes if by_document else run.nodes, mean([figure.value(run)])) for run in runs
+            Point(run.document_bytes if varies_document else run.nodes, mean([figure.value(run)]))
+            for run in runs
         )
-        variable = "document bytes" if by_document else "nodes"
+        variable = "document bytes" if varies_document else "nodes"
         yield Slope(f"{prefix}-{figure.name}", figure.title, variable, figure.unit, tuple(points), notes)
 
 
-def _whole_numbers(text: str) -> list[int]:
-    return [int(word) for word in text.split(",")]
+def _parse_integers(text: str) -> list[int]:
+    return [int(field_text) for field_text in text.split(",")]
 
 
 def _arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("role", nargs="?", choices=("run", "members", "nodes"), default="run")
-    parser.add_argument("--nodes", type=_whole_numbers, default=[40])
-    parser.add_argument("--document-kib", type=_whole_numbers, default=[8])
+    parser.add_argument("--nodes", type=_parse_integers, default=[40])
+    parser.add_argument("--document-kib", type=_parse_integers, default=[8])
     parser.add_argument("--processes", type=int, default=1, help="of nodes")
     parser.add_argument("--seconds", type=float, default=30.0, help="of each phase")
     parser.add_argument("--changes-every", type=float, default=5.0)
@@ -439,8 +471,8 @@
         return 0
     runs = []
     for nodes in arguments.nodes:
-        for kib in arguments.document_kib:
-            runs.append(measure(nodes, kib * KIB, arguments))
+        for size_kib in arguments.document_kib:
+            runs.append(measure(nodes, size_kib * KIB, arguments))
             print(json.dumps(asdict(runs[-1])), flush=True)
     if arguments.out is not None:
         for slope in _slopes(runs, arguments):
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -15,7 +15,7 @@
 
 PLATFORM = ("127.0.0.1", 8500)
 ENDPOINT = ("127.0.0.1", 9001)
-MEMBERS = [
+LIST_MEMBERS = [
     {
         "id": "toy-1",
         "host_port": "{}:{}".format(*ENDPOINT),
@@ -27,7 +27,7 @@
         "up_since_ms": 0,
     }
 ]
-LIST = json.dumps({"revision": 1, "complete": True, "members": MEMBERS}).encode()
+ENDPOINT_LIST = json.dumps({"revision": 1, "complete": True, "members": LIST_MEMBERS}).encode()
 
 
 class Handler(BaseHTTPRequestHandler):
@@ -35,7 +35,7 @@
 
     protocol_version = "HTTP/1.1"
 
-    def body(self) -> bytes:
+    def read_body(self) -> bytes:
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
     def reply(self, status: int, body: bytes = b"") -> None:
@@ -54,12 +54,12 @@
 
     def do_GET(self) -> None:
         if "watch=1" not in self.path:
-            self.reply(200, LIST)
+            self.reply(200, ENDPOINT_LIST)
             return
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        line = LIST
+        line = ENDPOINT_LIST
         while True:  # the list first, then an empty line every 2 s, until the node leaves
             try:
                 self.wfile.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
@@ -70,7 +70,7 @@
             time.sleep(2.0)
 
     def do_POST(self) -> None:
-        for line in self.body().splitlines():
+        for line in self.read_body().splitlines():
             print("platform: notice", line.decode(), flush=True)
         self.reply(204)
 
@@ -79,11 +79,11 @@
     """Takes each message, but for those that `--fail` picks."""
 
     calls = count(1)
-    fail = 0
+    fail_every = 0
 
     def do_POST(self) -> None:
-        body, number = self.body(), next(self.calls)
-        failed = self.fail > 0 and number % self.fail == 0
+        body, number = self.read_body(), next(self.calls)
+        failed = self.fail_every > 0 and number % self.fail_every == 0
         print(
             f"endpoint: call {number}, message {self.headers['X-Request-ID']}, {body!r}:",
             "error" if failed else "taken",
@@ -95,7 +95,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description="a platform and an endpoint to try a node with")
     parser.add_argument("--fail", type=int, default=0, metavar="N", help="every N-th call ends with an error")
-    Endpoint.fail = parser.parse_args().fail
+    Endpoint.fail_every = parser.parse_args().fail
     threading.Thread(target=ThreadingHTTPServer(PLATFORM, Platform).serve_forever, daemon=True).start()
     print("platform on {}:{}, endpoint of destination 1 on {}:{}".format(*PLATFORM, *ENDPOINT), flush=True)
     ThreadingHTTPServer(ENDPOINT, Endpoint).serve_forever()
--- a/irisstack/lab/faults/rig.py
+++ b/irisstack/lab/faults/rig.py
@@ -14,19 +14,19 @@
 from enum import IntEnum
 from pathlib import Path
 
-SOURCE = Path(__file__).with_name("preload.c")
+LIBRARY_SOURCE = Path(__file__).with_name("preload.c")
 NANOSECONDS = 1_000_000_000
-MOST_RULES = 16
-_OFFSET = struct.Struct("=q")
-_RULE = struct.Struct("=8i")
-_CALL = struct.Struct("=i")
-_SIZE = _OFFSET.size + MOST_RULES * _RULE.size
-_HITS_AT = 6 * 4
+MAX_RULES = 16
+_WALL_OFFSET = struct.Struct("=q")
+_RULE_STRUCT = struct.Struct("=8i")
+_CALL_STRUCT = struct.Struct("=i")
+_CONTROL_SIZE = _WALL_OFFSET.size + MAX_RULES * _RULE_STRUCT.size
+_HITS_OFFSET = 6 * 4
 """Where in a rule the number of calls hit so far stands."""
 
 KILL = -1
 """In place of an errno: the process is killed at that call, a write after the bytes that its limit allows."""
-ALL = -1
+ALL_CALLS = -1
 
 
 class RigUnavailable(RuntimeError):
@@ -73,73 +73,75 @@
     error: int = 0
     limit: int = -1
     after: int = 0
-    count: int = ALL
+    count: int = ALL_CALLS
 
 
-def build(folder: Path) -> Path:
+def build(directory: Path) -> Path:
     """Build the library in a folder; raises `RigUnavailable` without a C compiler, or if it fails."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         raise RigUnavailable("no C compiler (cc) was found")
-    library = folder / "preload.so"
-    command = [compiler, "-shared", "-fPIC", "-O1", "-o", str(library), str(SOURCE), "-ldl"]
-    run = subprocess.run(command, capture_output=True, text=True, check=False)
-    if run.returncode:
-        raise RigUnavailable(f"{compiler} failed: {run.stderr.strip()[:500]}")
+    library = directory / "preload.so"
+    command = [compiler, "-shared", "-fPIC", "-O1", "-o", str(library), str(LIBRARY_SOURCE), "-ldl"]
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    if completed.returncode:
+        raise RigUnavailable(f"{compiler} failed: {completed.stderr.strip()[:500]}")
     return library
 
 
 class Rig:
     """What one process, and those that it starts, see of their machine."""
 
-    def __init__(self, library: Path, control: Path, folder: Path) -> None:
+    def __init__(self, library: Path, control_file: Path, directory: Path) -> None:
         """`control` is the file through which the process is led; it is made anew.
 
         `folder` is the one whose files are of the kind `FOLDER`, by the path that the process opens.
         """
         self._library = library
-        self._folder = folder
-        self._path = control
-        control.write_bytes(bytes(_SIZE))
-        with control.open("r+b") as file:
-            self._control = mmap.mmap(file.fileno(), _SIZE)
+        self._directory = directory
+        self._control_path = control_file
+        control_file.write_bytes(bytes(_CONTROL_SIZE))
+        with control_file.open("r+b") as file:
+            self._control_memory = mmap.mmap(file.fileno(), _CONTROL_SIZE)
 
     @property
     def environment(self) -> dict[str, str]:
         """Variables for the process to be started with."""
-        loaded = [str(self._library), os.environ.get("LD_PRELOAD", "")]
+        libraries = [str(self._library), os.environ.get("LD_PRELOAD", "")]
         return {
-            "LD_PRELOAD": " ".join(filter(None, loaded)),
-            "IRISSTACK_FAULTS": str(self._path),
-            "IRISSTACK_FAULTS_FOLDER": str(self._folder),
+            "LD_PRELOAD": " ".join(filter(None, libraries)),
+            "IRISSTACK_FAULTS": str(self._control_path),
+            "IRISSTACK_FAULTS_FOLDER": str(self._directory),
         }
 
     def set_wall_clock(self, seconds: float) -> None:
         """Let the wall clock be so far ahead of the true one; below zero it is behind."""
-        _OFFSET.pack_into(self._control, 0, round(seconds * NANOSECONDS))
+        _WALL_OFFSET.pack_into(self._control_memory, 0, round(seconds * NANOSECONDS))
 
     def set_rules(self, *rules: Rule) -> None:
         """Have these rules in force, in place of those before; the first that fits a call counts."""
-        if len(rules) > MOST_RULES:
-            raise ValueError(f"{MOST_RULES} rules at most, not {len(rules)}")
-        for index in range(MOST_RULES):
+        if len(rules) > MAX_RULES:
+            raise ValueError(f"{MAX_RULES} rules at most, not {len(rules)}")
+        for index in range(MAX_RULES):
             self._write_rule(index, None)
         for index, rule in enumerate(rules):
             self._write_rule(index, rule)
 
     def hits(self, index: int = 0) -> int:
         """How many calls the rule at this position has hit."""
-        at = _OFFSET.size + index * _RULE.size + _HITS_AT
-        return int.from_bytes(self._control[at : at + 4], "little", signed=True)
+        offset = _WALL_OFFSET.size + index * _RULE_STRUCT.size + _HITS_OFFSET
+        return int.from_bytes(self._control_memory[offset : offset + 4], "little", signed=True)
 
     def close(self) -> None:
         """Let go of the control file; the process keeps what it was last told."""
-        self._control.close()
+        self._control_memory.close()
 
     def _write_rule(self, index: int, rule: Rule | None) -> None:
         values = (0,) * 8
         if rule is not None:
             values = (rule.call, rule.kind, rule.error, rule.limit, rule.after, rule.count, 0, 0)
-        at = _OFFSET.size + index * _RULE.size
-        _RULE.pack_into(self._control, at, 0, *values[1:])
-        _CALL.pack_into(self._control, at, values[0])  # last: from here on the rule is in force
+        offset = _WALL_OFFSET.size + index * _RULE_STRUCT.size
+        _RULE_STRUCT.pack_into(self._control_memory, offset, 0, *values[1:])
+        _CALL_STRUCT.pack_into(
+            self._control_memory, offset, values[0]
+        )  # last: from here on the rule is in force
