--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that reach into a node's insides, which the laboratory may not."""
+"""Benchmarks that import the node's internal modules, which the laboratory may not import."""
--- a/benchmarks/list_reader.py
+++ b/benchmarks/list_reader.py
@@ -1,8 +1,8 @@
-"""What the node's reader of the endpoint list costs by itself: memory that it keeps, and processor time.
+"""Measures the memory and the processor time of the node's endpoint list reader alone.
 
     python benchmarks/list_reader.py
 
-The reader is a part of the node, which the laboratory may not import, so that this stands outside of it.
+The reader is part of the node, which the laboratory may not import, so this benchmark is outside of it.
 """
 
 import gc
@@ -26,7 +26,7 @@
 
 
 def measure(destinations: int) -> Mapping[str, float]:
-    """Read a whole list twice: once for the memory that is kept of it, once for the time."""
+    """Read a whole list twice: first to measure memory, then, without tracing, to measure processor time."""
     world = world_of(destinations)
     platform = Platform(RunContext(world), addresses_of(world))
     list_document = json.dumps(platform.known()).encode()
@@ -65,7 +65,7 @@
 
 
 def main() -> int:
-    """Measure at every size and write the result files."""
+    """Measure at every size; write the result files and print their paths."""
     for slope in runner.run(MEASUREMENT, _print_progress):
         print(result.save(RESULTS, slope))
     return 0
--- a/benchmarks/owed_messages.py
+++ b/benchmarks/owed_messages.py
@@ -1,10 +1,11 @@
-"""What messages owed cost a real node: memory, the lasting folder, and the time until it serves again.
+"""Measures what pending messages cost a real node: memory, disk space, and the time until it serves again.
 
-    python benchmarks/owed_messages.py
+    python benchmarks/owed_messages.py [MEASUREMENT...]
 
-writes a lasting folder with so many messages owed, in a process of its own, and starts a real node on it,
-as after a kill. The folder's format is the node's own, so that this stands outside of the laboratory, which
-knows a node by its start and its sockets alone.
+For each number of pending messages, a separate process writes a state directory, and a real node starts on
+it, as after a kill. A second measurement times the longest write while segments are freed. Both use the
+node's own storage format, so this benchmark is outside of the laboratory, which may only start a node and
+use its sockets.
 """
 
 import sys
@@ -33,26 +34,30 @@
 DESTINATION_COUNT = 1_000
 BODY = b"x" * 200
 LATENCY_TARGET_S, DEADLINE_S = 1e5, 1e6
+"""Longer than any run, so that no message expires."""
 MAX_PENDING_MESSAGES = 100_000_000
+"""More than any run writes, so that the node rejects none."""
 DISK_BYTES_PER_MESSAGE = 2_000
-"""Bytes of the folder's limit for each message: five twelfths of it are kept free."""
+"""Bytes of the disk limit for each message; the store reserves five twelfths of the limit."""
 MIN_DISK_BYTES = 16_000_000
 COMPACTION_DISK_BYTES_PER_MESSAGE = 1_000
-"""The same where the folder is to be crowded: a message's record is about half of it."""
+"""Bytes of the disk limit for each message for the compaction run; a record takes about half of them."""
 RECORDS_PER_WRITE = 1_000
 FINISHED_MESSAGES_PER_WRITE = 10
+"""Messages that are accepted and delivered within one write when measuring compaction."""
 WRITTEN_SHARE = 0.8
-"""Of the folder's limit that is written beside what is owed, so that several segments are freed."""
+"""Share of the disk limit to write besides the pending messages, so that several segments are freed."""
 UNREACHABLE_ADDRESS = "127.0.0.1:9"
+"""Discovery address where nothing listens."""
 
 
 def disk_bytes(messages: int) -> int:
-    """A limit of the folder in which so many messages find room."""
+    """The disk limit, in bytes, that a state directory with this many pending messages needs."""
     return max(MIN_DISK_BYTES, messages * DISK_BYTES_PER_MESSAGE)
 
 
 def write_pending_messages(directory: Path, messages: int) -> None:
-    """Put so many messages owed on record, as a node does that takes them on."""
+    """Write this many pending messages to a state directory, as a node does when it accepts them."""
     store = Store(directory, disk_bytes(messages))
     now = store.clock.now()
     _accept_all(store, messages, now)
@@ -83,7 +88,7 @@
 
 
 def settings() -> dict[str, Any]:
-    """Settings under which nothing expires and nothing is refused for want of room."""
+    """Settings under which no message expires and none is rejected because too many are pending."""
     settings_document = node_settings(world_of(1))
     settings_document["allowed"]["mostHeld"] = MAX_PENDING_MESSAGES
     for class_settings in settings_document["lanes"]:
@@ -92,7 +97,7 @@
 
 
 def measure(messages: int) -> Mapping[str, float]:
-    """Start a node that owes so many messages; no list names their destinations, so that none is sent."""
+    """Start a node with this many pending messages; it has no endpoint list, so it sends none of them."""
     with (
         tempfile.TemporaryDirectory(prefix="irisstack-owed-") as directory,
         MeasuredNode(
@@ -105,7 +110,7 @@
         ready_s = node.start()
         started_at = time.monotonic()
         if (status := node.ask("POST", f"/{MESSAGE_CLASS}", _request_headers())) != 202:
-            raise MeasuredNodeError(f"a message was answered {status}")
+            raise MeasuredNodeError(f"expected status 202 for the first message, got {status}")
         answered_s = ready_s + time.monotonic() - started_at
         return {
             "owed-ready": answered_s,
@@ -125,9 +130,10 @@
 
 
 def measure_compaction(messages: int) -> Mapping[str, float]:
-    """The longest write of a folder that is full enough to free its oldest segment with every new one.
+    """Time the longest write to a state directory so full that each new segment frees the oldest one.
 
-    Messages that are delivered at once, and whose time is up, come and go beside those that stay owed.
+    Pending messages stay in the store, while others, already past their deadline, are accepted and delivered
+    at once, then dropped as expired.
     """
     with tempfile.TemporaryDirectory(prefix="irisstack-owed-") as directory:
         disk_limit = messages * COMPACTION_DISK_BYTES_PER_MESSAGE
@@ -148,7 +154,7 @@
 
 
 def _accept_and_deliver(store: Store, message_numbers: range, now: float) -> list[bytes]:
-    """The records of messages that are taken on and delivered in one turn."""
+    """Add messages and finish them as delivered; returns the records to write, two a message."""
     for number in message_numbers:
         store.add(_new_entry(number, now - 1.0))
     return [
@@ -193,7 +199,7 @@
 
 
 def main() -> int:
-    """Measure what the arguments name, or all, and write the result files."""
+    """Run the measurements named as arguments, or all; write the result files and print their paths."""
     selected_names = sys.argv[1:] or [measurement.name for measurement in MEASUREMENTS]
     for measurement in MEASUREMENTS:
         if measurement.name in selected_names:
--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -1,11 +1,12 @@
-"""What following the settings costs: the node's real actor, many in a process, against members in another.
+"""Measures what the node's own settings watch costs: many watches in a process, etcd members in another.
 
     python benchmarks/settings_loopback.py --nodes 10,40,105,210,420,840 --out docs/measurements/capacity
     python benchmarks/settings_loopback.py --nodes 40 --document-kib 1,8,32,128
 
-All on loopback: the stand-in of etcd with seven members in one process, the nodes in one or two others. Each
-node has its own connections, byte budget and folder; what a node does with an accepted document is left out.
-Processor time is that of the process (user and system), memory the growth of its resident set.
+Everything runs on loopback: the etcd stand-in with seven members in one process, the nodes in one or two
+others. A node here is only its settings watch, with its own connections, byte budget and state directory; it
+does nothing with an accepted document. Processor time is that of the process (user and system), memory is the
+growth of its resident set.
 """
 
 import argparse
@@ -35,20 +36,23 @@
 
 PREFIX = "/irisstack/settings/"
 BYTE_BUDGET_PER_S = 11_000.0
+"""Bytes a second that a node may exchange with the members, both directions together."""
 KIB = 1024
 ITEM_BYTES = 256
 READY_TIMEOUT_S = 120.0
 START_SPREAD_S = 4.0
+"""The nodes of a process start within this many seconds."""
 SETTLE_WAIT_S = 5.0
+"""Seconds from when all nodes have the first document until the quiet phase begins."""
 LAST_CHANGE_WAIT_S = 5.0
-"""Seconds that the last change of a phase is given before the phase is summed up."""
+"""Seconds that the last change has to reach the nodes before the last sample is taken."""
 POLL_INTERVAL_S = 0.05
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What a process has used so far."""
+    """Resources that a process has used so far."""
 
     at: float
     processor_s: float
@@ -56,7 +60,7 @@
 
 
 def current_usage() -> Usage:
-    """Of this process; raises `OSError` elsewhere than on Linux."""
+    """The usage of this process; raises `OSError` on systems other than Linux."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return Usage(time.monotonic(), time.process_time(), pages * PAGE_BYTES)
 
@@ -65,7 +69,7 @@
 
 
 class ChangeWriter:
-    """Writes a change now and then, and remembers when."""
+    """Writes a change at each interval and records the time of each revision."""
 
     def __init__(self, server: EtcdServer, document_bytes: int, item_bytes: int) -> None:
         self.changes: dict[int, float] = {}
@@ -81,7 +85,7 @@
         return self._cluster.put_all((key_of(path), encoded(self._document.value(path))) for path in paths)
 
     def run(self) -> None:
-        """Write a change each time the pause is over, while there is a pause."""
+        """Write a change after each interval; write none while no interval is set."""
         while True:
             gevent.sleep(self.interval_s or POLL_INTERVAL_S)
             if self.interval_s is not None:
@@ -92,7 +96,10 @@
 
 
 def serve_members(arguments: argparse.Namespace) -> None:
-    """Serve until standard input ends; a line that is a number is the seconds between changes, 0 for none."""
+    """Serve until standard input ends. Each line sets the seconds between changes, 0 for no changes.
+
+    Each line is answered with the usage and the traffic of the members so far.
+    """
     with EtcdServer(MEMBERS) as server:
         change_writer = ChangeWriter(server, arguments.document_bytes, arguments.item_bytes)
         revision = change_writer.write_all()
@@ -118,7 +125,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AcceptedDocument:
-    """What the check makes of a document: nothing more is done with it here."""
+    """The result of the document check; the benchmark does nothing more with it."""
 
     retired: Mapping[str, Any] = field(default_factory=dict)
 
@@ -129,7 +136,7 @@
 
 
 class AppliedRevisions:
-    """Which revisions are in force at how many nodes, and since when at the last of them."""
+    """For each revision, how many nodes applied it, and when the last of them did."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, int] = {}
@@ -141,7 +148,7 @@
 
 
 def run_nodes(arguments: argparse.Namespace) -> None:
-    """Run so many nodes until standard input ends; each line is answered with what came of them so far."""
+    """Run the nodes until standard input ends; answer each line with usage and applied revisions so far."""
     logs.configure(stream=open(os.devnull, "w"))  # noqa: SIM115  # written to until the process ends
     members = [parse_host_port(address, "members") for address in arguments.members.split(",")]
     applied_revisions, counters, before = AppliedRevisions(), Counters(), current_usage()
@@ -175,16 +182,16 @@
 
 
 def send_line(**fields: object) -> None:
-    """One line to the process that started this one."""
+    """Write the fields as one line of JSON to the parent process."""
     sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
 
-# ---- the run ----
+# ---- the parent process ----
 
 
 class ChildProcess:
-    """A process that answers lines; it ends with the context."""
+    """A child process that answers each line with one line of JSON; it ends with the context."""
 
     def __init__(self, core: int | None, *role_arguments: object) -> None:
         taskset_prefix = ["taskset", "-c", str(core)] if core is not None else []
@@ -205,7 +212,7 @@
         assert self._process.stdout is not None
         line = self._process.stdout.readline()
         if not line:
-            raise RuntimeError("a process ended early")
+            raise RuntimeError("child process closed its output before it answered")
         answer: dict[str, Any] = json.loads(line)
         return answer
 
@@ -229,48 +236,49 @@
 
 @dataclass(slots=True, frozen=True)
 class Phase:
-    """What a stretch of time cost."""
+    """Cost of one phase of a run."""
 
     node_share: float
     """Part of a core for each node."""
     member_share: float
     """Part of a core for each member."""
     node_bytes_per_s: float
-    """Bytes a second that members send to each node."""
+    """Bytes a second that the members send, per node."""
     member_requests_per_s: float
-    """At the busiest member."""
+    """Requests a second at the busiest member."""
 
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """What one run found."""
+    """Results of one run; the fields are printed as JSON."""
 
     nodes: int
     document_bytes: int
     quiet: Phase
     changing: Phase
     resident_bytes: float
-    """For each node."""
+    """Growth of the resident set per node."""
     last_s: float
-    """The longest time until a change was in force at the last node."""
+    """The longest time from a change until the last node applied it."""
     changes: int
     never: int
-    """Changes that some node had not in force by the end."""
+    """Changes that at least one node had not applied by the end."""
     connects_peak: int
-    """At one member in one second, the start included."""
+    """Most connections opened at one member within one second, the start included."""
     stale: int
+    """How often settings became stale, summed over the nodes."""
 
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """The counts of members and nodes at one moment."""
+    """Answers of the members' process and of each process of nodes at one moment."""
 
     members: dict[str, Any]
     nodes: list[dict[str, Any]]
 
 
 def measure(nodes: int, document_bytes: int, arguments: argparse.Namespace) -> Run:
-    """One run: the nodes start, a quiet phase, a phase with changes."""
+    """Run once: start the nodes, then measure a phase without changes and a phase with changes."""
     sizes = ["--document-bytes", document_bytes, "--item-bytes", arguments.item_bytes]
     with ChildProcess(arguments.member_core, "members", *sizes) as members:
         members_ready = members.receive()
@@ -291,7 +299,7 @@
 
 
 class _NodeProcesses:
-    """The nodes' processes, as one context."""
+    """The processes that run the nodes, as one context manager."""
 
     def __init__(
         self, node_counts: Sequence[int], members_ready: Mapping[str, Any], core: int | None
@@ -349,7 +357,7 @@
 
 
 def _apply_delays(sample: Sample, nodes: int) -> tuple[list[float], int]:
-    """The seconds until each change was in force at the last node, and how many never were."""
+    """Seconds until the last node applied each change, and the number of changes not applied by all."""
     delays, never_applied = [], 0
     for revision, written_at in sample.members["changes"].items():
         if sum(process["nodes"].get(revision, 0) for process in sample.nodes) < nodes:
@@ -386,7 +394,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """One figure of a run, as a slope."""
+    """A value of a run that is written as a slope."""
 
     name: str
     title: str
@@ -419,7 +427,7 @@
 
 
 def _slopes(runs: Sequence[Run], arguments: argparse.Namespace) -> Iterator[Slope]:
-    """The figures against the nodes, or against the document if just that varies."""
+    """The figures by number of nodes, or by document size if there is only one number of nodes."""
     varies_document = len(arguments.nodes) == 1
     prefix = "settings-loopback-document" if varies_document else "settings-loopback"
     fixed = (
@@ -448,12 +456,12 @@
     parser.add_argument("role", nargs="?", choices=("run", "members", "nodes"), default="run")
     parser.add_argument("--nodes", type=_parse_integers, default=[40])
     parser.add_argument("--document-kib", type=_parse_integers, default=[8])
-    parser.add_argument("--processes", type=int, default=1, help="of nodes")
-    parser.add_argument("--seconds", type=float, default=30.0, help="of each phase")
+    parser.add_argument("--processes", type=int, default=1, help="number of processes that run the nodes")
+    parser.add_argument("--seconds", type=float, default=30.0, help="duration of each phase in seconds")
     parser.add_argument("--changes-every", type=float, default=5.0)
     parser.add_argument("--node-core", type=int)
     parser.add_argument("--member-core", type=int)
-    parser.add_argument("--out", type=Path, help="write each slope as a JSON file to this folder")
+    parser.add_argument("--out", type=Path, help="write each slope as a JSON file to this directory")
     parser.add_argument("--item-bytes", type=int, default=ITEM_BYTES)
     for name in ("--document-bytes", "--count", "--first", "--revision"):
         parser.add_argument(name, type=int, help=argparse.SUPPRESS)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,9 +1,9 @@
-"""What a node talks to, as a toy: a platform with one destination, and that destination's endpoint.
+"""A toy platform with one destination, and that destination's endpoint, to try a node with.
 
     python examples/toy_server.py [--fail N]
 
 The platform listens on 127.0.0.1:8500, the endpoint of destination 1 on 127.0.0.1:9001. With `--fail N` every
-N-th call ends with an error. Both print what they are sent.
+N-th call ends with an error. Both print the requests that they receive.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """What both parts share."""
+    """Reads and answers requests, for both servers."""
 
     protocol_version = "HTTP/1.1"
 
@@ -46,11 +46,11 @@
         self.wfile.write(body)
 
     def log_message(self, format: str, *args: object) -> None:
-        """Quiet: each part prints what matters itself."""
+        """Print nothing: each server prints its own lines."""
 
 
 class Platform(Handler):
-    """Discovery and the ear for notices."""
+    """Serves the endpoint list and receives notices."""
 
     def do_GET(self) -> None:
         if "watch=1" not in self.path:
@@ -60,7 +60,7 @@
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         line = ENDPOINT_LIST
-        while True:  # the list first, then an empty line every 2 s, until the node leaves
+        while True:  # the list, then an empty line as heartbeat every 2 s, until the node disconnects
             try:
                 self.wfile.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
             except OSError:
@@ -76,7 +76,7 @@
 
 
 class Endpoint(Handler):
-    """Takes each message, but for those that `--fail` picks."""
+    """Accepts each message, except that every N-th call fails with `--fail N`."""
 
     calls = count(1)
     fail_every = 0
@@ -93,8 +93,8 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="a platform and an endpoint to try a node with")
-    parser.add_argument("--fail", type=int, default=0, metavar="N", help="every N-th call ends with an error")
+    parser = argparse.ArgumentParser(description="toy platform and endpoint to try a node with")
+    parser.add_argument("--fail", type=int, default=0, metavar="N", help="fail every N-th call")
     Endpoint.fail_every = parser.parse_args().fail
     threading.Thread(target=ThreadingHTTPServer(PLATFORM, Platform).serve_forever, daemon=True).start()
     print("platform on {}:{}, endpoint of destination 1 on {}:{}".format(*PLATFORM, *ENDPOINT), flush=True)
--- a/irisstack/lab/faults/rig.py
+++ b/irisstack/lab/faults/rig.py
@@ -1,8 +1,9 @@
-"""A fault rig: a preloaded library makes one process see a stepped wall clock and system calls that fail.
+"""A fault rig: a preloaded library steps the wall clock and fails system calls of one process.
 
-`Rig.environment` is what the process is started with; from then on the rig's methods change what it sees, at
-once and while it runs. The library is built from `preload.c` with the system's C compiler. It reaches calls
-that go through the C library, so the program has to be linked dynamically against it.
+The process is started with the variables of `Rig.environment`. From then on the rig's methods change the
+faults at once, through a memory-mapped control file. The library is built from `preload.c` with the system's
+C compiler. It intercepts calls that go through the C library, so the program has to be linked dynamically
+against it.
 """
 
 import mmap
@@ -22,19 +23,20 @@
 _CALL_STRUCT = struct.Struct("=i")
 _CONTROL_SIZE = _WALL_OFFSET.size + MAX_RULES * _RULE_STRUCT.size
 _HITS_OFFSET = 6 * 4
-"""Where in a rule the number of calls hit so far stands."""
+"""Byte offset, within a rule, of the number of calls hit so far."""
 
 KILL = -1
-"""In place of an errno: the process is killed at that call, a write after the bytes that its limit allows."""
+"""In place of an errno: kills the process at that call; a write first writes the bytes its limit allows."""
 ALL_CALLS = -1
+"""As the count of a rule: every matching call is hit."""
 
 
 class RigUnavailable(RuntimeError):
-    """The library cannot be built here."""
+    """The library cannot be built on this machine."""
 
 
 class SystemCall(IntEnum):
-    """The calls that a rule can hit."""
+    """Groups of system calls that a rule can hit."""
 
     ACCEPT = 1
     SOCKET = 2
@@ -49,23 +51,23 @@
 
 
 class DescriptorKind(IntEnum):
-    """What the descriptor of a call is."""
+    """What the file descriptor of a call refers to."""
 
     ANY = 0
     CLIENT = 1
     PEER = 2
     FILE = 3
-    """A regular file, the log among them where it is one."""
+    """A regular file; this includes the log output if it goes to a file."""
     FOLDER = 4
-    """A file in the folder that the rig was told of."""
+    """A file in the directory that the rig was created with."""
 
 
 @dataclass(slots=True, frozen=True)
 class Rule:
     """Which calls fail, and how.
 
-    `error` is the errno, or `KILL`; with 0 a transfer only takes `limit` bytes at most. `after` calls that
-    the rule fits pass first, then `count` are hit.
+    `error` is the errno, or `KILL`; with 0, a transfer succeeds but moves at most `limit` bytes
+    (-1: no limit). The first `after` matching calls pass, the next `count` are hit.
     """
 
     call: SystemCall
@@ -77,7 +79,7 @@
 
 
 def build(directory: Path) -> Path:
-    """Build the library in a folder; raises `RigUnavailable` without a C compiler, or if it fails."""
+    """Build the library in a directory; raises `RigUnavailable` if the C compiler is missing or fails."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         raise RigUnavailable("no C compiler (cc) was found")
@@ -90,12 +92,12 @@
 
 
 class Rig:
-    """What one process, and those that it starts, see of their machine."""
+    """Controls the faults of one process and of its child processes."""
 
     def __init__(self, library: Path, control_file: Path, directory: Path) -> None:
-        """`control` is the file through which the process is led; it is made anew.
+        """Create the control file, or overwrite it; the process maps it into its memory.
 
-        `folder` is the one whose files are of the kind `FOLDER`, by the path that the process opens.
+        `directory` is the one whose files are of the kind `FOLDER`, by the path that the process opens.
         """
         self._library = library
         self._directory = directory
@@ -106,7 +108,7 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """Variables for the process to be started with."""
+        """Environment variables to start the process with."""
         libraries = [str(self._library), os.environ.get("LD_PRELOAD", "")]
         return {
             "LD_PRELOAD": " ".join(filter(None, libraries)),
@@ -115,25 +117,28 @@
         }
 
     def set_wall_clock(self, seconds: float) -> None:
-        """Let the wall clock be so far ahead of the true one; below zero it is behind."""
+        """Set how far the wall clock is ahead of the true one; a negative value sets it behind."""
         _WALL_OFFSET.pack_into(self._control_memory, 0, round(seconds * NANOSECONDS))
 
     def set_rules(self, *rules: Rule) -> None:
-        """Have these rules in force, in place of those before; the first that fits a call counts."""
+        """Replace all rules; no arguments remove them all.
+
+        The first rule that matches a call, has let `after` calls pass and has `count` remaining applies.
+        """
         if len(rules) > MAX_RULES:
-            raise ValueError(f"{MAX_RULES} rules at most, not {len(rules)}")
+            raise ValueError(f"expected at most {MAX_RULES} rules, got {len(rules)}")
         for index in range(MAX_RULES):
             self._write_rule(index, None)
         for index, rule in enumerate(rules):
             self._write_rule(index, rule)
 
     def hits(self, index: int = 0) -> int:
-        """How many calls the rule at this position has hit."""
+        """Number of calls that the rule at this position has hit."""
         offset = _WALL_OFFSET.size + index * _RULE_STRUCT.size + _HITS_OFFSET
         return int.from_bytes(self._control_memory[offset : offset + 4], "little", signed=True)
 
     def close(self) -> None:
-        """Let go of the control file; the process keeps what it was last told."""
+        """Unmap the control file; the last rules and clock offset stay in force in the process."""
         self._control_memory.close()
 
     def _write_rule(self, index: int, rule: Rule | None) -> None:
@@ -144,4 +149,4 @@
         _RULE_STRUCT.pack_into(self._control_memory, offset, 0, *values[1:])
         _CALL_STRUCT.pack_into(
             self._control_memory, offset, values[0]
-        )  # last: from here on the rule is in force
+        )  # written last: it puts the rule in force
