--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -139,11 +139,11 @@
     """For each revision, how many nodes applied it, and when the last of them did."""
 
     def __init__(self) -> None:
-        self.nodes: dict[int, int] = {}
+        self.node_counts: dict[int, int] = {}
         self.last_at: dict[int, float] = {}
 
     def apply(self, revision: int, accepted: AcceptedDocument) -> None:
-        self.nodes[revision] = self.nodes.get(revision, 0) + 1
+        self.node_counts[revision] = self.node_counts.get(revision, 0) + 1
         self.last_at[revision] = time.monotonic()
 
 
@@ -152,9 +152,9 @@
     logs.configure(stream=open(os.devnull, "w"))  # noqa: SIM115  # written to until the process ends
     members = [parse_host_port(address, "members") for address in arguments.members.split(",")]
     applied_revisions, counters, before = AppliedRevisions(), Counters(), current_usage()
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         for number in range(arguments.count):
-            state = Path(folder) / str(number)
+            state = Path(directory) / str(number)
             state.mkdir()
             seed = arguments.first + number
             watch = SettingsWatch(
@@ -168,14 +168,14 @@
                 seed,
             )
             gevent.spawn_later(START_SPREAD_S * number / arguments.count, watch.run)
-        while applied_revisions.nodes.get(arguments.revision, 0) < arguments.count:
+        while applied_revisions.node_counts.get(arguments.revision, 0) < arguments.count:
             gevent.sleep(POLL_INTERVAL_S)
         send_line(ready=True)
         for _ in FileObjectPosix(sys.stdin.fileno(), "rb", close=False):
             send_line(
                 usage=asdict(current_usage()),
                 before=asdict(before),
-                nodes=applied_revisions.nodes,
+                nodes=applied_revisions.node_counts,
                 last_at=applied_revisions.last_at,
                 counters=counters.snapshot(),
             )
