--- a/benchmarks/settings_loopback.py
+++ b/benchmarks/settings_loopback.py
@@ -111,11 +111,11 @@
             send_line(
                 usage=asdict(current_usage()),
                 changes=change_writer.changes,
-                connects=[member_traffic.connects.total for member_traffic in traffic],
-                connects_peak=max(member_traffic.connects.peak for member_traffic in traffic),
+                connects=[member_traffic.connections.total for member_traffic in traffic],
+                connects_peak=max(member_traffic.connections.peak for member_traffic in traffic),
                 requests=[member_traffic.requests.total for member_traffic in traffic],
                 bytes_out=[member_traffic.bytes_out.total for member_traffic in traffic],
-                watches=[member.watches for member in server.members],
+                watches=[member.watch_count for member in server.members],
             )
         writer_greenlet.kill()
 
--- a/irisstack/lab/standins/etcd_http.py
+++ b/irisstack/lab/standins/etcd_http.py
@@ -1,4 +1,4 @@
-"""The gateway's answers as HTTP bytes, for members on sockets and members in virtual time alike."""
+"""HTTP responses of the gateway as bytes, for members on sockets and for members in virtual time."""
 
 from irisstack.lab.sockets import http
 from irisstack.lab.standins import etcd, etcd_json
@@ -10,20 +10,20 @@
 METHOD_NOT_ALLOWED = 405
 
 
-def answer(member: Member, method: str, path: str, body: bytes) -> bytes:
-    """The whole answer to a request that is no watch."""
+def handle_request(member: Member, method: str, path: str, body: bytes) -> bytes:
+    """The complete HTTP response to any request other than a watch."""
     if method != "POST":
         return http.reply(METHOD_NOT_ALLOWED)
-    status, answered = member.answer(path, body)
-    return http.reply(status, JSON_HEADERS, answered)
+    status, response_body = member.handle_request(path, body)
+    return http.reply(status, JSON_HEADERS, response_body)
 
 
-def refusal(error: etcd.EtcdError) -> bytes:
-    """The whole answer to a request that is refused before a stream begins."""
+def error_response(error: etcd.EtcdError) -> bytes:
+    """The complete HTTP response to a request that is rejected before a stream begins."""
     status, body = etcd_json.encode_error(error)
     return http.reply(status, JSON_HEADERS, body)
 
 
-def chunk(data: bytes) -> bytes:
-    """One piece of a stream's body."""
+def encode_chunk(data: bytes) -> bytes:
+    """Encode one chunk of a chunked HTTP body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -1,4 +1,4 @@
-"""The actor of the endpoint list: asks discovery when told to, and hands on what it says."""
+"""The actor that keeps the endpoint list: calls discovery when told to and passes its updates on."""
 
 import random
 import time
@@ -18,39 +18,38 @@
 from irisstack.node.list_reader import ListReader
 
 WATCH_RETRY_PAUSE_S = 0.08
-"""Seconds, on average, until a watch that ended or is late is held anew, where the list comes unasked."""
+"""Mean seconds before a watch that ended or is overdue is retried, where lists are pushed."""
 MAX_WATCHES = 4
-"""Calls for a watch that may be out at once."""
+"""Concurrent watch calls."""
 OLDEST_WATCHES_KEPT = 2
-"""Of these, so many of the oldest stay: a service that works through calls in turn comes to them first."""
+"""The oldest watch calls that are never evicted: a service that works in order answers them first."""
 NOTIFICATION_DEADLINE_AFTER_MOVE_S = 4.0
-"""Seconds, in place of `NOTIFICATION_DEADLINE`, after which news of the list counts as told once
-discovery has moved."""
-MOST_NAMED = 8
-"""Endpoints that one line of the log names at most."""
-LOGGED_FAILURES, LOGGED_EVERY = 5, 50
-"""Calls without a word in between whose failures are all logged, and which of the later ones are."""
+"""Seconds that replace `NOTIFICATION_DEADLINE` when the address of discovery changes."""
+MAX_LOGGED_ENDPOINTS = 8
+"""Endpoints named in one log line."""
+LOG_ALL_FAILURES_UP_TO, LOG_EVERY_NTH_FAILURE = 5, 50
+"""Consecutive failures: all up to the first number are logged at info, then each nth; the rest at debug."""
 
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, frozen=True)
 class AddressChanged:
-    """Discovery is at another address from now on."""
+    """The address of discovery has changed to `peer`."""
 
-    peer: HostPort
+    address: HostPort
 
 
 class Discovery:
     """Holds a watch and at most one fetch.
 
-    While a call for a watch is late, another may be out beside it; the first that brings a word is kept.
-    Where the list comes unasked (`pushed`) the module never subscribes, and a watch is held all along.
+    While a watch call is overdue, another may run in parallel; the first that confirms the list is kept.
+    Where lists are pushed (`pushed`), the decision module never subscribes and a watch is held all the time.
     """
 
     def __init__(
         self,
-        peer: HostPort,
+        address: HostPort,
         reader: ListReader,
         post: Callable[[api.EndpointsUpdated], None],
         revision: int,
@@ -58,36 +57,36 @@
         counters: Counters | None = None,
     ) -> None:
         self._counters = counters or Counters()
-        self._peer = peer
+        self._address = address
         self._reader = reader
         self._post = post
         self._revision = revision
         self._pushed = pushed
-        self._calls_begun = 0
-        self._failures = 0  # since the last word
-        self._confirmed_at = time.monotonic()  # when the list that is held was last known to be the newest
+        self._calls_started = 0
+        self._failures = 0  # since the list was last confirmed
+        self._confirmed_at = time.monotonic()  # when the held list was last known to be the newest
         self._watches: list[ListCall] = []
         self._fetch: ListCall | None = None
-        self._wanted = False  # the module's last word on the watch
+        self._subscribed = False  # whether the decision module wants a watch
         self.mailbox: Queue[api.Action | AddressChanged] = Queue(64)
 
     def run(self) -> None:
-        """Follow the mailbox. Nothing is handed on from here: the way to the module may be full."""
+        """Process the mailbox. Never posts from here, since the decision module's mailbox may be full."""
         if self._pushed:
             self.mailbox.put(api.Subscribe(True))
         while True:
             match self.mailbox.get():
                 case api.Subscribe(True):
-                    self._wanted = True
-                    self._hold_watch()
+                    self._subscribed = True
+                    self._ensure_watch()
                 case api.Subscribe(False):
-                    self._wanted = False
+                    self._subscribed = False
                     self._end_watches()
                 case api.FetchEndpoints():
-                    if self._fetch is None or not self._fetch.current:
-                        self._begin_fetch()
-                case AddressChanged(peer):
-                    self._move(peer)
+                    if self._fetch is None or not self._fetch.on_time:
+                        self._start_fetch()
+                case AddressChanged(address):
+                    self._change_address(address)
 
     def close(self) -> None:
         """End all calls."""
@@ -97,29 +96,29 @@
 
     # ---- calls ----
 
-    def _begin(self, query: Query) -> ListCall:
-        self._calls_begun += 1
+    def _start_call(self, query: Query) -> ListCall:
+        self._calls_started += 1
         self._counters.add("list_calls")
-        self._log(
+        self._log_call(
             "list_call_begun",
-            call=self._calls_begun,
+            call=self._calls_started,
             query=query.value,
             revision=self._revision,
             list_age_s=round(self._list_age, 3),
         )
-        return ListCall(self._calls_begun, self._peer, query, self._revision, self)
+        return ListCall(self._calls_started, self._address, query, self._revision, self)
 
-    def _hold_watch(self) -> None:
-        """Begin a call for a watch, unless there is one that is not late: that is as good as another."""
+    def _ensure_watch(self) -> None:
+        """Start a watch call, unless one is running that is not overdue."""
         self._watches = [watch for watch in self._watches if not watch.ended]
-        if any(watch.current for watch in self._watches):
+        if any(watch.on_time for watch in self._watches):
             return
         while len(self._watches) >= MAX_WATCHES:
-            self._end_one_watch()
-        self._watches.append(self._begin(Query.WATCH))
+            self._evict_watch()
+        self._watches.append(self._start_call(Query.WATCH))
 
-    def _end_one_watch(self) -> None:
-        """Make room for another: a silent watch goes, else the oldest call that need not stay."""
+    def _evict_watch(self) -> None:
+        """Make room for another watch: end one that fell silent, else the oldest that may be evicted."""
         silent = (watch for watch in self._watches if watch.answered)
         watch = next(silent, self._watches[OLDEST_WATCHES_KEPT])
         self._watches.remove(watch)
@@ -130,42 +129,45 @@
             watch.end()
         self._watches.clear()
 
-    def _begin_fetch(self) -> None:
+    def _start_fetch(self) -> None:
         if self._fetch is not None:
             self._fetch.end()
-        self._fetch = self._begin(Query.FETCH)
+        self._fetch = self._start_call(Query.FETCH)
 
-    def _move(self, peer: HostPort) -> None:
-        """Ask at another address at once; the list that is held stays until the new one comes.
+    def _change_address(self, address: HostPort) -> None:
+        """Call the new address at once; the held list stays in use until the new one arrives.
 
-        Revisions may be counted otherwise there, so the whole list is asked for.
+        Revisions may be numbered differently there, so the whole list is requested.
         """
-        self._peer, self._revision = peer, 0
-        # What the new address has counts as told sooner, as if the list were older by the difference.
+        self._address, self._revision = address, 0
+        # The notification deadline is earlier after a move: backdate the list by the difference.
         self._confirmed_at = time.monotonic() - (NOTIFICATION_DEADLINE - NOTIFICATION_DEADLINE_AFTER_MOVE_S)
         self._end_watches()
-        if self._wanted:
-            self._hold_watch()
+        if self._subscribed:
+            self._ensure_watch()
         if self._fetch is not None and not self._fetch.ended:
-            self._begin_fetch()
+            self._start_fetch()
 
-    def _log(self, event: str, **fields: Any) -> None:
-        """Log a call; in a long outage most of them at the level for debugging."""
-        write = log.info
-        if self._failures > LOGGED_FAILURES and self._failures % LOGGED_EVERY:
-            write = log.debug
-        write(event, **fields)
+    def _log_call(self, event: str, **fields: Any) -> None:
+        """Log an event of a call; in a long outage, most of them at debug level."""
+        log_method = log.info
+        if self._failures > LOG_ALL_FAILURES_UP_TO and self._failures % LOG_EVERY_NTH_FAILURE:
+            log_method = log.debug
+        log_method(event, **fields)
 
-    # ---- what calls tell ----
+    # ---- results of calls ----
 
     @property
     def _list_age(self) -> float:
-        """Seconds since the list that is held was last known to be the newest."""
+        """Seconds since the held list was last known to be the newest."""
         return time.monotonic() - self._confirmed_at
 
-    def on_object(self, call: ListCall, said: Any) -> None:
-        """Hand on what one object says. Only then is it known: a watch ended meanwhile is told it again."""
-        update = self._reader.parse_update(said)
+    def on_object(self, call: ListCall, raw: Any) -> None:
+        """Post the update in one JSON object.
+
+        The revision is stored only then: if the call is ended meanwhile, the next one requests it again.
+        """
+        update = self._reader.parse_update(raw)
         not_offered = [e.address for e in update.endpoints if e.state is not api.EndpointState.READY]
         log.info(
             "list_updated",
@@ -173,13 +175,15 @@
             scope=update.scope.name,
             revision=update.version,
             lines=len(update.endpoints),
-            not_offered=[format_host_port(to_host_port(address)) for address in not_offered[:MOST_NAMED]],
+            not_offered=[
+                format_host_port(to_host_port(address)) for address in not_offered[:MAX_LOGGED_ENDPOINTS]
+            ],
         )
         self._post(update)
         self._revision = update.version
 
-    def on_word(self, call: ListCall) -> None:
-        """The list is known to be the newest; other calls for a watch are not needed any more."""
+    def on_confirmed(self, call: ListCall) -> None:
+        """The list is known to be the newest; the other watch calls are no longer needed."""
         self._counters.record_max("list_age_longest_ms", round(self._list_age * 1000.0))
         self._confirmed_at = time.monotonic()
         self._failures = 0
@@ -191,22 +195,22 @@
         self._watches = [call]
 
     def on_failure(self, call: ListCall, failure: CallFailure) -> None:
-        """Tell the module, which decides when to ask again."""
+        """Notify the decision module, which decides when to call again."""
         self._counters.add("list_calls_failed")
         self._failures += 1
-        self._log(
+        self._log_call(
             "list_call_failed",
             call=call.number,
             reason=failure.reason,
-            unheard_s=round(failure.unheard, 3),
+            unheard_s=round(failure.silent_for, 3),
             list_age_s=round(self._list_age, 3),
         )
         self._post(
             api.EndpointsUpdated(
-                api.UpdateScope.FAILED, self._revision, (), failure.unheard, list_age=self._list_age
+                api.UpdateScope.FAILED, self._revision, (), failure.silent_for, list_age=self._list_age
             )
         )
         if self._pushed and call in self._watches:
-            # What is had at the service's return counts as told at once, so it is looked for often.
+            # An update counts as notified as soon as the service is back, so the retry interval is short.
             gevent.sleep(random.uniform(0.5, 1.5) * WATCH_RETRY_PAUSE_S)
             self.mailbox.put(api.Subscribe(True))
--- a/irisstack/node/list_call.py
+++ b/irisstack/node/list_call.py
@@ -1,4 +1,4 @@
-"""One call for the endpoint list: a fetch of the whole list, or a watch on its changes."""
+"""One call for the endpoint list: a fetch of the whole list, or a watch for changes."""
 
 import json
 import math
@@ -18,31 +18,31 @@
 from irisstack.node.objects import JsonObjectStream
 
 ANSWER_OVERDUE_AFTER_S = list_refresh.ANSWER_OVERDUE_AFTER
-"""Seconds from its begin after which a call without a word is late: another may be begun beside it."""
+"""Seconds from its start after which an unanswered call is overdue: another may be started in parallel."""
 PARTIAL_ANSWER_OVERDUE_AFTER_S = 1.8
-"""The same for one whose bytes are coming."""
-COMING = 0.6
-"""Seconds from a byte to the next for which they count as coming."""
+"""The same in seconds while bytes of the answer are arriving."""
+MAX_BYTE_GAP_S = 0.6
+"""Seconds between bytes up to which they count as arriving."""
 WATCH_OVERDUE_AFTER_S = 2.6
-"""Seconds without a word after which a watch is late; one is due every 2 s.
+"""Seconds without an object or a heartbeat after which a watch is overdue; heartbeats come every 2 s.
 
-What is missed from the last word on has to be here 6 s later, also where the next call is late too.
+An update missed since the last one must arrive within 6 s of it, even if the next call is overdue too.
 """
 SILENCE_TIMEOUT_S = 3.5
-"""Seconds for a connect, and without a word of an answer that has begun, after which a call ends."""
+"""Seconds allowed for the connect, and without an object or a heartbeat once an answer has begun."""
 ANSWER_TIMEOUT_S = 120.0
-"""Seconds without a byte after which a call ends.
+"""Seconds after which a call that has not received a byte ends.
 
-A service that works through calls in turn comes to this one sooner than to any that is made later.
+Long, because a service that works through calls in order answers this one before any later call.
 """
-STILL_LATE = 0.2
-"""Seconds between two looks at a call that is late, or has bytes that nobody has read yet."""
+OVERDUE_CHECK_INTERVAL_S = 0.2
+"""Seconds between checks of a call that is overdue or has unread bytes."""
 
 log = structlog.get_logger()
 
 
 class Query(Enum):
-    """What is asked."""
+    """The kind of call."""
 
     FETCH = "fetch"
     WATCH = "watch"
@@ -50,62 +50,64 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFailure:
-    """Why a call brings nothing any more, or not in time."""
+    """Why a call failed or is overdue."""
 
-    unheard: float
-    """Seconds since discovery, which took the call, was heard; 0 if it was not reached."""
+    silent_for: float
+    """Seconds since the last object or heartbeat, or else since the start of the call; 0 if not connected."""
     reason: str
 
 
 class Listener(Protocol):
-    """Who made the call."""
+    """The owner of a call."""
 
-    def on_object(self, call: "ListCall", said: Any) -> None:
-        """Discovery has said this; raises if it is no list."""
+    def on_object(self, call: "ListCall", raw: Any) -> None:
+        """A JSON object has arrived; raises if it is not a list update."""
 
-    def on_word(self, call: "ListCall") -> None:
-        """Discovery was heard in full: the list that the call has brought so far is the newest."""
+    def on_confirmed(self, call: "ListCall") -> None:
+        """An object or a heartbeat has arrived: the list as received by this call is the newest."""
 
     def on_failure(self, call: "ListCall", failure: CallFailure) -> None:
-        """The call has failed, or is late. It is told once, and anew only after a word in between."""
+        """The call has failed or is overdue. Reported once, and again only after `on_confirmed`."""
 
 
 class ListCall:
-    """Runs in two greenlets: one reads, the other tells when the call is late.
+    """Runs in two greenlets: one reads, the other reports when the call is overdue.
 
-    Bytes that make no whole object and no empty line are no word, however many come.
+    Only a whole object or an empty line (the heartbeat) confirms the list, not just any bytes.
     """
 
-    def __init__(self, number: int, peer: HostPort, query: Query, revision: int, listener: Listener) -> None:
-        """`number` names the call in the log; a watch is told what has changed since `revision`."""
+    def __init__(
+        self, number: int, address: HostPort, query: Query, revision: int, listener: Listener
+    ) -> None:
+        """`number` identifies the call in the log; a watch receives the changes since `revision`."""
         self.number = number
-        self.began_at = self._heard_at = time.monotonic()
-        self._peer = peer
+        self.started_at = self._confirmed_at = time.monotonic()
+        self._address = address
         self._query = query
         self._revision = revision
         self._listener = listener
         self._connection: socket.socket | None = None
         self._buffer = Buffer()
         self._answered = False
-        self._bytes_at = -math.inf
-        self._began_to_answer_at: float | None = None
-        self._late = False
+        self._last_bytes_at = -math.inf
+        self._answer_started_at: float | None = None
+        self._overdue = False
         self.ended = False
-        """Whether nothing is told of the call any more."""
-        self._greenlets = [gevent.spawn(self._run), gevent.spawn(self._watch_the_time)]
+        """Whether the call is over and its listener is no longer called."""
+        self._greenlets = [gevent.spawn(self._run), gevent.spawn(self._report_overdue)]
 
     @property
-    def current(self) -> bool:
-        """Whether the call goes on and is not late."""
-        return not self.ended and not self._late
+    def on_time(self) -> bool:
+        """Whether the call is running and not overdue."""
+        return not self.ended and not self._overdue
 
     @property
     def answered(self) -> bool:
-        """Whether a word of the answer has come."""
+        """Whether an object or a heartbeat has arrived."""
         return self._answered
 
     def end(self) -> None:
-        """End the call; nothing is told of it any more."""
+        """End the call; its listener is no longer called."""
         self.ended = True
         gevent.killall(self._greenlets, block=False)
 
@@ -113,8 +115,8 @@
 
     def _run(self) -> None:
         try:
-            reason = self._ask()
-        except Exception as error:  # whatever it is, the caller must hear of it, or it never asks again
+            reason = self._request()
+        except Exception as error:  # any error must reach the listener, or it would never call again
             reason = repr(error)
         finally:
             if self._connection is not None:
@@ -122,109 +124,109 @@
         if self.ended:
             return
         self.ended = True
-        if reason and not self._late:
-            self._listener.on_failure(self, CallFailure(self._unheard, reason))
+        if reason and not self._overdue:
+            self._listener.on_failure(self, CallFailure(self._silent_for, reason))
 
     @property
-    def _unheard(self) -> float:
-        # A connection that does not come up has not reached the service, however late it is.
-        return time.monotonic() - self._heard_at if self._connection is not None else 0.0
+    def _silent_for(self) -> float:
+        # A connection that is not established has not reached the service, however overdue the call is.
+        return time.monotonic() - self._confirmed_at if self._connection is not None else 0.0
 
-    def _ask(self) -> str:
-        """Make the call; returns why it failed or how a watch ended; empty for a fetch that was answered."""
-        self._connection = sockets.connect(self._peer, SILENCE_TIMEOUT_S)
+    def _request(self) -> str:
+        """Make the call; returns why it failed or how the watch ended, empty for a fetch that succeeded."""
+        self._connection = sockets.connect(self._address, SILENCE_TIMEOUT_S)
         query = f"?watch=1&from={self._revision}" if self._query is Query.WATCH else ""
-        self._connection.sendall(http.request("GET", f"/v1/servers{query}", format_host_port(self._peer)))
+        self._connection.sendall(http.request("GET", f"/v1/servers{query}", format_host_port(self._address)))
         if self._query is Query.WATCH:
-            return f"ended with status {self._follow()}"
-        answer = self._whole()
+            return f"ended with status {self._read_watch()}"
+        answer = self._read_answer()
         if answer.status != 200:
             return f"ended with status {answer.status}"
-        self._tell(bytes(answer.body))
-        self._heard()
+        self._pass_on(bytes(answer.body))
+        self._confirm()
         return ""
 
-    def _whole(self) -> http.Message:
+    def _read_answer(self) -> http.Message:
         reader = http.ResponseReader(http.MAX_LIST)
         while (answer := reader.advance(self._buffer)) is None:
             if not self._receive():
                 answer = reader.finish_at_eof()
                 if answer is None:
-                    raise ConnectionResetError("the answer ended early")
+                    raise ConnectionResetError("the connection ended before the answer was complete")
                 break
         return answer
 
-    def _follow(self) -> int:
-        """Hand on each object of a watch until it ends; returns the status of its answer, 0 if none came."""
+    def _read_watch(self) -> int:
+        """Pass on each object of a watch until it ends; returns the answer's status, 0 if there was none."""
         reader, objects = http.ResponseReader(http.MAX_LIST), JsonObjectStream(http.MAX_LIST)
         while self._receive():
-            ended = reader.advance(self._buffer)
-            status = (ended or reader.message).status
+            answer = reader.advance(self._buffer)
+            status = (answer or reader.message).status
             if status == 200:
-                body = bytes(ended.body) if ended is not None else reader.take_body()
-                for whole in objects.feed(body):
-                    self._tell(whole)
-                    self._heard()
+                body = bytes(answer.body) if answer is not None else reader.take_body()
+                for data in objects.feed(body):
+                    self._pass_on(data)
+                    self._confirm()
                 if objects.between_objects and b"\n" in body:
-                    self._heard()
-            if ended is not None or (reader.headers_complete and status != 200):
+                    self._confirm()
+            if answer is not None or (reader.headers_complete and status != 200):
                 return status
         return reader.message.status
 
     def _receive(self) -> int:
-        """Read once; raises `TimeoutError` when no word has come for too long and nothing is unread."""
+        """Read once; raises `TimeoutError` if the call's time is up and no bytes are waiting to be read."""
         assert self._connection is not None
-        gevent.sleep(0)  # a flood must not keep the others from their turn
+        gevent.sleep(0)  # yields, so that a flood of bytes does not starve other greenlets
         received = sockets.receive_before(self._connection, self._buffer, self._ends_at)
-        self._bytes_at = time.monotonic()
-        if self._began_to_answer_at is None:
-            self._began_to_answer_at = self._bytes_at
+        self._last_bytes_at = time.monotonic()
+        if self._answer_started_at is None:
+            self._answer_started_at = self._last_bytes_at
         return received
 
     @property
     def _ends_at(self) -> float:
-        """When the call ends unless more comes."""
-        if self._began_to_answer_at is None:
-            return self.began_at + ANSWER_TIMEOUT_S
-        return max(self._heard_at, self._began_to_answer_at) + SILENCE_TIMEOUT_S
+        """When the call ends unless more data arrives."""
+        if self._answer_started_at is None:
+            return self.started_at + ANSWER_TIMEOUT_S
+        return max(self._confirmed_at, self._answer_started_at) + SILENCE_TIMEOUT_S
 
-    def _tell(self, whole: bytes) -> None:
+    def _pass_on(self, data: bytes) -> None:
         if not self.ended:
-            self._listener.on_object(self, json.loads(whole))
+            self._listener.on_object(self, json.loads(data))
 
-    def _heard(self) -> None:
+    def _confirm(self) -> None:
         if self.ended:
             return
-        self._heard_at = time.monotonic()
-        self._late = False
+        self._confirmed_at = time.monotonic()
+        self._overdue = False
         if not self._answered:
             self._answered = True
-            after_s = round(self._heard_at - self.began_at, 3)
+            after_s = round(self._confirmed_at - self.started_at, 3)
             log.info("list_call_answered", call=self.number, after_s=after_s)
-        self._listener.on_word(self)
+        self._listener.on_confirmed(self)
 
-    # ---- the time ----
+    # ---- overdue calls ----
 
-    def _watch_the_time(self) -> None:
-        """Tell when the call is late, and again when it is so after it has been heard once more."""
+    def _report_overdue(self) -> None:
+        """Report a failure each time the call becomes overdue."""
         while not self.ended:
-            wait = self._late_at - time.monotonic()
-            if wait > 0.0:
-                gevent.sleep(wait)
-            elif self._late or self._unread:
-                gevent.sleep(STILL_LATE)
+            remaining = self._overdue_at - time.monotonic()
+            if remaining > 0.0:
+                gevent.sleep(remaining)
+            elif self._overdue or self._has_unread_bytes:
+                gevent.sleep(OVERDUE_CHECK_INTERVAL_S)
             else:
-                self._late = True
-                self._listener.on_failure(self, CallFailure(self._unheard, "late"))
+                self._overdue = True
+                self._listener.on_failure(self, CallFailure(self._silent_for, "late"))
 
     @property
-    def _late_at(self) -> float:
+    def _overdue_at(self) -> float:
         if self._answered:
-            return self._heard_at + WATCH_OVERDUE_AFTER_S
-        coming = time.monotonic() < self._bytes_at + COMING
-        return self.began_at + (PARTIAL_ANSWER_OVERDUE_AFTER_S if coming else ANSWER_OVERDUE_AFTER_S)
+            return self._confirmed_at + WATCH_OVERDUE_AFTER_S
+        receiving = time.monotonic() < self._last_bytes_at + MAX_BYTE_GAP_S
+        return self.started_at + (PARTIAL_ANSWER_OVERDUE_AFTER_S if receiving else ANSWER_OVERDUE_AFTER_S)
 
     @property
-    def _unread(self) -> bool:
-        """Whether bytes lie there that came while this process stood still."""
+    def _has_unread_bytes(self) -> bool:
+        """Whether bytes wait in the socket that arrived while this process was stalled."""
         return self._connection is not None and not sockets.nothing_to_read(self._connection)
--- a/irisstack/node/settings_watch.py
+++ b/irisstack/node/settings_watch.py
@@ -1,4 +1,4 @@
-"""The actor that follows the settings: carries out on sockets what `dynamic_settings.decisions` decides."""
+"""The actor that follows the published settings: performs the I/O for `dynamic_settings.decisions`."""
 
 import math
 import time
@@ -37,17 +37,17 @@
 from irisstack.settings import SettingsError
 
 MAILBOX_SIZE = 16
-"""Events that wait at most; a call that has more to say waits."""
-LEAST_WAIT_S = 0.01
-"""Between two steps without an event: whatever the decisions say, the others get their turn."""
+"""Maximum of queued events; a call that has another one blocks until there is room."""
+MIN_WAIT_S = 0.01
+"""Seconds between steps without an event, at the least, so that other greenlets run."""
 RESTART_PAUSE_S = 5.0
-"""After a fault of this part itself, until it begins anew."""
+"""Seconds before a restart after an unexpected error in this actor."""
 
 log = structlog.get_logger()
 
 
 class Accepted(Protocol):
-    """What the check makes of a good document."""
+    """The result of a check that accepted a document."""
 
     @property
     def retired(self) -> Mapping[str, Any]: ...
@@ -57,13 +57,13 @@
 
 
 class SettingsWatch(Generic[AcceptedType]):
-    """Follows the settings for as long as the node runs, and never ends it.
+    """Follows the published settings while the node runs; its errors never end the node.
 
-    `check` raises `SettingsError` for a document that is refused; `apply` puts in force what it returned and
-    must not raise. The seed has to differ from node to node: it spreads the nodes over members and time.
+    `check` raises `SettingsError` to refuse a document; `apply` puts its result in force and must not raise.
+    The seed must differ from node to node, to spread the nodes' calls over members and time.
 
-    Counters: `settings_revision` is the revision in force, `settings_refused` the bad documents named,
-    `settings_stale` how often the settings became stale.
+    Counters: `settings_revision` is the revision in force, `settings_refused` the number of documents that
+    were reported as refused, `settings_stale` how often the settings became stale.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         members: Sequence[HostPort],
         prefix: str,
         bytes_per_s: float,
-        saved: SavedSettingsFile,
+        saved_settings_file: SavedSettingsFile,
         check: Callable[[Mapping[str, Any]], AcceptedType],
         apply: Callable[[int, AcceptedType], None],
         counters: Counters,
@@ -79,29 +79,29 @@
     ) -> None:
         self._members = {format_host_port(member): member for member in members}
         self._prefix = prefix.encode()
-        self._saved_file = saved
+        self._saved_settings_file = saved_settings_file
         self._check = check
         self._apply = apply
         self._counters = counters
         self._seed = seed
         self._budget = ByteBudget(bytes_per_s, time.monotonic())
-        self._held: ResumeState | None = None
+        self._resume_state: ResumeState | None = None
         self._counted_revision = 0
         self._calls: dict[int, gevent.Greenlet[..., None]] = {}
         self._mailbox: Queue[Event] = Queue(MAILBOX_SIZE)
 
     def run(self) -> None:
-        """Follow the settings; a fault of this part is logged, and it begins anew."""
-        saved = self._saved_file.load()
+        """Follow the settings; an unexpected error is logged, and the actor restarts."""
+        saved = self._saved_settings_file.load()
         if saved is not None:
-            self._held = ResumeState(saved.cluster_id, saved.revision, saved.items)
+            self._resume_state = ResumeState(saved.cluster_id, saved.revision, saved.items)
         while True:
             try:
                 self._follow()
-            except Exception as error:  # whatever it is, settings that stay as they are end no node
+            except Exception as error:  # any error: the node goes on with the settings in force
                 log.error("settings_watch_failed", error=repr(error))
-            for call in self._calls.values():
-                call.kill(block=False)
+            for greenlet in self._calls.values():
+                greenlet.kill(block=False)
             self._calls.clear()
             gevent.sleep(RESTART_PAUSE_S)
 
@@ -109,7 +109,7 @@
         self._mailbox = Queue(MAILBOX_SIZE)
         now = time.monotonic()
         follower = SettingsFollower(
-            list(self._members), self._prefix, self._budget, self._seed, self._held, now
+            list(self._members), self._prefix, self._budget, self._seed, self._resume_state, now
         )
         events: list[Event] = []
         while True:
@@ -120,31 +120,31 @@
                 if isinstance(action, WakeAt):
                     wake_at = action.at
                 elif isinstance(action, ProposeDocument):
-                    events.append(self._propose(action))
+                    events.append(self._try_document(action))
                 else:
-                    self._carry_out(action)
+                    self._execute(action)
             if not events:
                 events = self._wait(wake_at)
 
     def _wait(self, wake_at: float) -> list[Event]:
-        """All events that have come; none if the time is up first."""
-        left = max(LEAST_WAIT_S, wake_at - time.monotonic())
+        """All queued events; none if `wake_at` passes first."""
+        remaining = max(MIN_WAIT_S, wake_at - time.monotonic())
         try:
-            events = [self._mailbox.get(timeout=left if left < math.inf else None)]
+            events = [self._mailbox.get(timeout=remaining if remaining < math.inf else None)]
         except Empty:
             return []
         while not self._mailbox.empty():
             events.append(self._mailbox.get_nowait())
         return events
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
-            case SendRangeRequest(call, member, request):
-                self._calls[call] = gevent.spawn(self._ask_range, call, self._members[member], request)
-            case OpenWatch(call, member, request):
-                self._calls[call] = gevent.spawn(self._watch, call, self._members[member], request)
-            case CancelCall(call):
-                if (greenlet := self._calls.pop(call, None)) is not None:
+            case SendRangeRequest(call_id, member, request):
+                self._calls[call_id] = gevent.spawn(self._run_range, call_id, self._members[member], request)
+            case OpenWatch(call_id, member, request):
+                self._calls[call_id] = gevent.spawn(self._run_watch, call_id, self._members[member], request)
+            case CancelCall(call_id):
+                if (greenlet := self._calls.pop(call_id, None)) is not None:
                     greenlet.kill(block=False)
             case Log(level, event, fields):
                 getattr(log, level.value)(event, **fields)
@@ -153,55 +153,55 @@
 
     # ---- documents ----
 
-    def _propose(self, proposal: ProposeDocument) -> Event:
-        """Check a document as a whole and put it in force; one that is refused changes nothing."""
-        gevent.sleep(0)  # a check may take a while: the others get their turn between two
+    def _try_document(self, proposal: ProposeDocument) -> Event:
+        """Check a document as a whole and put it in force; a refused one changes nothing."""
+        gevent.sleep(0)  # a check may take long: yields to other greenlets between two
         try:
             accepted = self._check(proposal.items)
-            # Saved first: a message taken on under a new class is known again, whenever the process ends.
+            # Saved first, so that a message accepted under a new class is known to the next process.
             self._save(proposal, accepted)
             self._apply(proposal.revision, accepted)
         except SettingsError as error:
             return DocumentRefused(proposal.revision, str(error))
-        except Exception as error:  # whatever it is, a document ends no node
+        except Exception as error:  # any error: a document must not end the node
             return DocumentRefused(proposal.revision, f"the document: {error!r}")
-        self._held = ResumeState(proposal.cluster_id, proposal.revision, proposal.items)
+        self._resume_state = ResumeState(proposal.cluster_id, proposal.revision, proposal.items)
         self._counters.add("settings_revision", proposal.revision - self._counted_revision)
         self._counted_revision = proposal.revision
         return DocumentAccepted(proposal.revision)
 
     def _save(self, proposal: ProposeDocument, accepted: AcceptedType) -> None:
         settings = SavedSettings(proposal.cluster_id, proposal.revision, proposal.items, accepted.retired)
-        if self._saved_file.load() != settings:
-            self._saved_file.save(settings)
+        if self._saved_settings_file.load() != settings:
+            self._saved_settings_file.save(settings)
 
-    # ---- calls, each in a greenlet of its own ----
+    # ---- calls, each in its own greenlet ----
 
-    def _ask_range(self, number: int, peer: HostPort, request: etcd.RangeRequest) -> None:
-        call = MemberCall(peer, self._budget)
+    def _run_range(self, call_id: int, address: HostPort, request: etcd.RangeRequest) -> None:
+        call = MemberCall(address, self._budget)
         try:
-            self._mailbox.put(RangeResponseReceived(number, call.ask_range(request)))
-        except Exception as error:  # whatever it is, the decisions must hear of it, or they wait for ever
-            self._mailbox.put(_failure(number, error))
+            self._mailbox.put(RangeResponseReceived(call_id, call.request_range(request)))
+        except Exception as error:  # any error must reach the follower, or it would wait forever
+            self._mailbox.put(_failure(call_id, error))
         finally:
             call.close()
-            self._calls.pop(number, None)
+            self._calls.pop(call_id, None)
 
-    def _watch(self, number: int, peer: HostPort, request: etcd.WatchRequest) -> None:
-        call = MemberCall(peer, self._budget)
+    def _run_watch(self, call_id: int, address: HostPort, request: etcd.WatchRequest) -> None:
+        call = MemberCall(address, self._budget)
         try:
-            for answer, pending in call.watch(request):
-                self._mailbox.put(FrameProgress(number, pending))
-                if answer is not None:
-                    self._mailbox.put(WatchResponseReceived(number, answer))
+            for response, frame_bytes in call.watch(request):
+                self._mailbox.put(FrameProgress(call_id, frame_bytes))
+                if response is not None:
+                    self._mailbox.put(WatchResponseReceived(call_id, response))
         except Exception as error:  # as above
-            self._mailbox.put(_failure(number, error))
+            self._mailbox.put(_failure(call_id, error))
         finally:
             call.close()
-            self._calls.pop(number, None)
+            self._calls.pop(call_id, None)
 
 
-def _failure(number: int, error: Exception) -> CallFailed:
+def _failure(call_id: int, error: Exception) -> CallFailed:
     if isinstance(error, CallError):
-        return CallFailed(number, error.kind, str(error))
-    return CallFailed(number, FailureKind.MALFORMED, repr(error))
+        return CallFailed(call_id, error.kind, str(error))
+    return CallFailed(call_id, FailureKind.MALFORMED, repr(error))
--- a/tests/cli/test_settings_commands.py
+++ b/tests/cli/test_settings_commands.py
@@ -8,7 +8,7 @@
 import pytest
 
 from irisstack.__main__ import main
-from irisstack.lab.standins.etcd_cluster import Reach
+from irisstack.lab.standins.etcd_cluster import Availability
 from irisstack.lab.standins.etcd_server import EtcdServer
 from irisstack.node import settings_publisher
 from irisstack.node.config import HostPort
@@ -109,7 +109,7 @@
 def test_a_member_that_is_down_is_passed_over(
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    server.cluster.set_reach(0, Reach.DOWN)
+    server.cluster.set_availability(0, Availability.DOWN)
     assert publish(node_file, GOOD) == 0
     assert published(server, node_file, capfd) == GOOD
 
@@ -118,9 +118,9 @@
     server: EtcdServer, node_file: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     for number in range(3):
-        server.cluster.set_reach(number, Reach.DOWN)
+        server.cluster.set_availability(number, Availability.DOWN)
     assert publish(node_file, GOOD) == 1
-    assert capfd.readouterr().err.startswith("irisstack: no member answers: ")
+    assert capfd.readouterr().err.startswith("irisstack: no member answered: ")
 
 
 @pytest.mark.parametrize("document", [[1], "text"])
@@ -155,7 +155,7 @@
     else:
         server.cluster.put(f"{PREFIX}c".encode(), b"7")
     revision = server.cluster.store.revision
-    with pytest.raises(PublishError, match="changed by another since revision 2; nothing is written"):
+    with pytest.raises(PublishError, match="the document has changed since revision 2; nothing was written"):
         publisher.publish(before, {"a": 3, "b": 2})
     assert server.cluster.store.revision == revision
 
@@ -164,5 +164,5 @@
     publisher = SettingsPublisher(members_of(server), PREFIX)
     most = settings_publisher.MAX_CHANGES
     assert publisher.publish(publisher.read(), {f"lanes/{i}": i for i in range(most)}) == 2
-    with pytest.raises(PublishError, match="127 changes at most"):
+    with pytest.raises(PublishError, match="at most 127 changes"):
         publisher.publish(publisher.read(), {f"tenants/{i}": i for i in range(most)})
--- a/tests/node/list_support.py
+++ b/tests/node/list_support.py
@@ -1,4 +1,4 @@
-"""Scripted services of the endpoint list, and the part of a node that follows one."""
+"""Scripted discovery services, and the part of a node that follows the endpoint list."""
 
 import copy
 import queue
@@ -19,102 +19,102 @@
 from tests.node_support import SETTINGS, ScriptedEndpoint, ScriptedPlatform, http_response
 
 BUSY_S = 1.0
-"""Seconds that a call waits in a crowded service until it is answered 503."""
+"""Seconds until a busy service answers 503."""
 TRICKLE_PAUSE_S = 0.2
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class CallFate(Enum):
-    """What becomes of one call for the list."""
+class CallBehavior(Enum):
+    """How the service treats one list call."""
 
     SERVED = auto()
-    """Answered with the list, and with an empty line every 2 s from then on."""
+    """Answered with the list, and then with a heartbeat (an empty line) every 2 s."""
     REFUSED = auto()
     """Answered 503 at once."""
     BUSY = auto()
-    """Answered 503 after a wait."""
+    """Answered 503 after `BUSY_S`."""
     SILENT = auto()
-    """Accepted, and never answered."""
+    """Accepted and never answered."""
     HEAD_ONLY = auto()
-    """The head of an answer comes, and nothing after it."""
+    """Only the head of an answer is sent."""
     TRICKLING = auto()
-    """An answer that comes a byte at a time and has no end."""
-    CUT = auto()
-    """Half of an object, then a reset."""
-    SPOILT = auto()
-    """An object that cannot be read."""
-    FALLS_SILENT = auto()
-    """Answered with the list, and never heard of again."""
+    """An endless answer, sent a byte at a time."""
+    CUT_OFF = auto()
+    """Half of an object, then the connection is closed."""
+    MALFORMED = auto()
+    """An object that is not valid JSON."""
+    WATCH_FALLS_SILENT = auto()
+    """Answered with the list, and silent from then on."""
 
 
 class ScriptedDiscovery(ScriptedPlatform):
-    """Serves calls for the list as its script says, the rest as ever; keeps when each of them came."""
+    """Treats watch calls as its script says and others normally; records the time of each watch call."""
 
-    def __init__(self, *script: CallFate) -> None:
+    def __init__(self, *script: CallBehavior) -> None:
         self.script = list(script)
-        self.called_at: list[float] = []
-        self.over = threading.Event()
+        self.call_times: list[float] = []
+        self.closed = threading.Event()
         super().__init__()
-        threading.Thread(target=self._beat, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     def close(self) -> None:
-        self.over.set()
+        self.closed.set()
         super().close()
 
-    def _beat(self) -> None:
-        while not self.over.wait(2.0):
+    def _send_heartbeats(self) -> None:
+        while not self.closed.wait(2.0):
             self.send_update("")
 
     def reply(self, connection: socket.socket, request: http.Message) -> None:
         if "watch=1" not in request.path:
             super().reply(connection, request)
             return
-        self.called_at.append(time.monotonic())
-        fate = self.script.pop(0) if self.script else CallFate.SERVED
+        self.call_times.append(time.monotonic())
+        behavior = self.script.pop(0) if self.script else CallBehavior.SERVED
         with suppress(OSError):
-            self._fail(connection, request, fate)
+            self._respond(connection, request, behavior)
 
-    def _fail(self, connection: socket.socket, request: http.Message, fate: CallFate) -> None:
-        match fate:
-            case CallFate.SERVED:
+    def _respond(self, connection: socket.socket, request: http.Message, behavior: CallBehavior) -> None:
+        match behavior:
+            case CallBehavior.SERVED:
                 super().reply(connection, request)
-            case CallFate.FALLS_SILENT:
+            case CallBehavior.WATCH_FALLS_SILENT:
                 super().reply(connection, request)
                 self.watchers.remove(connection)
-            case CallFate.REFUSED:
+            case CallBehavior.REFUSED:
                 connection.sendall(http_response(503))
-            case CallFate.BUSY:
+            case CallBehavior.BUSY:
                 time.sleep(BUSY_S)
                 connection.sendall(http_response(503))
-            case CallFate.SILENT:
+            case CallBehavior.SILENT:
                 pass
-            case CallFate.HEAD_ONLY:
-                connection.sendall(HEAD)
-            case CallFate.TRICKLING:
-                connection.sendall(HEAD + b'ffffff\r\n{"revision": 5, "members": ["')
-                while not self.over.wait(TRICKLE_PAUSE_S):
+            case CallBehavior.HEAD_ONLY:
+                connection.sendall(RESPONSE_HEAD)
+            case CallBehavior.TRICKLING:
+                connection.sendall(RESPONSE_HEAD + b'ffffff\r\n{"revision": 5, "members": ["')
+                while not self.closed.wait(TRICKLE_PAUSE_S):
                     connection.sendall(b"x")
-            case CallFate.CUT:
-                connection.sendall(HEAD + b'ff\r\n{"revision": 5, "mem')
+            case CallBehavior.CUT_OFF:
+                connection.sendall(RESPONSE_HEAD + b'ff\r\n{"revision": 5, "mem')
                 connection.shutdown(socket.SHUT_RDWR)
-            case CallFate.SPOILT:
-                connection.sendall(HEAD + b'b\r\n{"members":}\r\n')
+            case CallBehavior.MALFORMED:
+                connection.sendall(RESPONSE_HEAD + b'b\r\n{"members":}\r\n')
 
 
-class CrowdedDiscovery(ScriptedPlatform):
-    """Works through calls for the list one after another, those of callers that have left too."""
+class SequentialDiscovery(ScriptedPlatform):
+    """Serves list calls one after another, even those whose callers have disconnected."""
 
     def __init__(self, call_s: float) -> None:
-        """`call_s` is how many seconds one call takes."""
+        """`call_s` is the seconds that one call takes."""
         self._call_s = call_s
         self._calls: queue.Queue[tuple[socket.socket, http.Message]] = queue.Queue()
         super().__init__()
-        threading.Thread(target=self._work, daemon=True).start()
+        threading.Thread(target=self._serve_calls, daemon=True).start()
 
     def reply(self, connection: socket.socket, request: http.Message) -> None:
         self._calls.put((connection, request))
 
-    def _work(self) -> None:
+    def _serve_calls(self) -> None:
         while True:
             connection, request = self._calls.get()
             time.sleep(self._call_s)
@@ -122,8 +122,8 @@
                 super().reply(connection, request)
 
 
-class TimedPeer(ScriptedEndpoint):
-    """An endpoint that keeps when each call came."""
+class TimedEndpoint(ScriptedEndpoint):
+    """An endpoint that records when each call arrived."""
 
     def __init__(self) -> None:
         self.received_at: list[float] = []
@@ -134,18 +134,18 @@
         super().reply(connection, request)
 
 
-def settings_for(senders: int) -> dict[str, object]:
-    """The platform's settings for a fleet of so many."""
+def settings_for_fleet(fleet_size: int) -> dict[str, object]:
+    """The settings for a fleet of `fleet_size` nodes."""
     settings = copy.deepcopy(SETTINGS)
-    settings["balancers"] = senders
+    settings["balancers"] = fleet_size
     return settings
 
 
 class ListFollower:
-    """A node's part that follows the list, with the decisions on when it asks; all of it in real time."""
+    """The part of a node that follows the list, including the decisions when to call; runs in real time."""
 
-    def __init__(self, service: ScriptedPlatform, senders: int, seed: int, pushed: bool) -> None:
-        raw_settings = settings_for(senders)
+    def __init__(self, service: ScriptedPlatform, fleet_size: int, seed: int, pushed: bool) -> None:
+        raw_settings = settings_for_fleet(fleet_size)
         raw_settings["discovery"] = "pushed" if pushed else "on_request"
         settings = read(Reader(raw_settings))
         reader = ListReader(settings)
@@ -155,7 +155,7 @@
         self._turn(reader.parse_update(service.document(), api.UpdateScope.CACHED))
 
     def on_update(self, update: api.EndpointsUpdated) -> None:
-        """The list, a change of it, or the failure of a call has been heard."""
+        """Called with each list, each change of it and each failure of a call."""
 
     def _post(self, update: api.EndpointsUpdated) -> None:
         self.on_update(update)
@@ -174,6 +174,6 @@
         self._turn(api.TimerFired(token))
 
     def close(self) -> None:
-        """End all that is under way."""
+        """End all greenlets and calls."""
         gevent.killall(self._greenlets)
         self.discovery.close()
