--- a/benchmarks/owed_messages.py
+++ b/benchmarks/owed_messages.py
@@ -3,9 +3,9 @@
     python benchmarks/owed_messages.py [MEASUREMENT...]
 
 For each number of pending messages, a separate process writes a state directory, and a real node starts on
-it, as after a kill. A second measurement times the longest write while segments are freed. Both use the
-node's own storage format, so this benchmark is outside of the laboratory, which may only start a node and
-use its sockets.
+it, as after a kill. A second measurement takes the processor time of the longest write while segments are
+freed. Both use the node's own storage format, so this benchmark is outside of the laboratory, which may only
+start a node and use its sockets.
 """
 
 import sys
@@ -130,9 +130,9 @@
 
 
 def measure_compaction(messages: int) -> Mapping[str, float]:
-    """Time the longest write to a state directory so full that each new segment frees the oldest one.
+    """Measure the longest write to a state directory that is nearly full, in processor time.
 
-    Pending messages stay in the store, while others, already past their deadline, are accepted and delivered
+    It is full enough that each new segment frees the oldest one. Pending messages stay, while others, already past their deadline, are accepted and delivered
     at once, then dropped as expired.
     """
     with tempfile.TemporaryDirectory(prefix="irisstack-owed-") as directory:
