--- a/irisstack/lab/clients.py
+++ b/irisstack/lab/clients.py
@@ -1,38 +1,39 @@
-"""Those who hand messages in: when they come again, and whether they heed advice. Pure."""
+"""Client behaviour: when clients retry, and whether they honour Retry-After. Makes no calls itself."""
 
 from irisstack.lab.sampling import RandomStreams, sample
 from irisstack.lab.scenario import Clients
 
-LEAST_TIME = 0.05
-"""Seconds that a message must have left for a client to hand it in once more."""
+MIN_TIME_LEFT = 0.05
+"""Seconds to its deadline that a message must have for a client to submit it again."""
 
 
-class Behaviour:
-    """All clients of a world."""
+class ClientBehaviour:
+    """The behaviour of all clients of a world."""
 
-    def __init__(self, told: Clients, streams: RandomStreams) -> None:
-        self._told = told
+    def __init__(self, config: Clients, streams: RandomStreams) -> None:
+        self._config = config
         self._backoff = streams.stream("clients", "backoff")
-        self._heeds = streams.uniform("clients", "heed")
-        self._leaves = streams.uniform("clients", "leave")
+        self._heed_draw = streams.uniform("clients", "heed")
+        self._leave_draw = streams.uniform("clients", "leave")
         self._resend = streams.stream("clients", "resend")
 
-    def leaves(self) -> bool:
-        """Whether this one closes its connection before it has read the answer."""
-        return self._told.leave > 0.0 and self._leaves() < self._told.leave
+    def disconnects_early(self) -> bool:
+        """Whether the next client closes its connection before it has read the answer."""
+        return self._config.leave > 0.0 and self._leave_draw() < self._config.leave
 
-    def comes_again(self, tries: int, advice: float, left: float) -> float | None:
-        """After a refusal: seconds until the message is handed in again; `None` if it is not.
+    def retry_delay(self, submissions: int, retry_after: float, time_left: float) -> float | None:
+        """Seconds after a refusal until the message is submitted again; `None` if it is not.
 
-        `tries` are the handings in so far, `advice` the told seconds (0: none), `left` the time that it has.
+        `submissions` counts the submissions so far, `retry_after` is the advised wait (0 for none), and
+        `time_left` is the time to the deadline, both in seconds.
         """
-        if tries > self._told.retries:
+        if submissions > self._config.retries:
             return None
-        wait = sample(self._told.backoff_s, self._backoff) * 2.0 ** (tries - 1)
-        if advice and self._heeds() < self._told.heed:
-            wait = max(wait, advice)
-        return wait if wait + LEAST_TIME < left else None
-
-    def tries_elsewhere(self) -> float:
-        """Seconds until another node is tried, after one could not be reached or died."""
-        return sample(self._told.resend_s, self._resend)
+        delay = sample(self._config.backoff_s, self._backoff) * 2.0 ** (submissions - 1)
+        if retry_after and self._heed_draw() < self._config.heed:
+            delay = max(delay, retry_after)
+        return delay if delay + MIN_TIME_LEFT < time_left else None
+
+    def failover_delay(self) -> float:
+        """Seconds until another node is tried, after a node died or could not be reached."""
+        return sample(self._config.resend_s, self._resend)
--- a/irisstack/lab/compare.py
+++ b/irisstack/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two variants beside each other, seed by seed: differences with intervals, and plain words."""
+"""Compares two variants seed by seed: differences with confidence intervals, and a conclusion in words."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,13 +10,15 @@
 
 CONFIDENCE = 0.95
 RESAMPLES = 2000
+"""Resamples of the bootstrap."""
 METRICS = ("score", "whole", "worst_window", "worst_class", "waste")
 LESS_IS_BETTER = {"waste"}
+"""Metrics of which a smaller value is better."""
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """B less A over the seeds that both have."""
+    """The difference B minus A of one metric, over the seeds that both have."""
 
     scenario: str
     metric: str
@@ -31,20 +33,20 @@
         return self.mean_b - self.mean_a
 
     @property
-    def seen(self) -> bool:
-        """Whether the interval leaves zero out."""
+    def significant(self) -> bool:
+        """Whether the confidence interval excludes zero."""
         return self.pairs > 1 and (self.low > 0.0 or self.high < 0.0)
 
-    def words(self, a: str, b: str) -> str:
-        """The outcome in plain words."""
-        if not self.seen:
+    def conclusion(self, a: str, b: str) -> str:
+        """The conclusion in words."""
+        if not self.significant:
             return "no difference seen"
         better = (self.difference > 0.0) != (self.metric in LESS_IS_BETTER)
         return f"{b if better else a} is better"
 
 
-def interval(values: Sequence[float]) -> tuple[float, float]:
-    """The mean's interval by the bootstrap (bias-corrected and accelerated), the same at each call."""
+def bootstrap_interval(values: Sequence[float]) -> tuple[float, float]:
+    """Confidence interval of the mean by the bias-corrected and accelerated bootstrap; deterministic."""
     data = np.asarray(values, dtype=float)
     if data.size < 2 or np.ptp(data) == 0.0:
         mean = float(data.mean())
@@ -56,20 +58,22 @@
 
 
 def differences(a: Sequence[Run], b: Sequence[Run], metrics: Sequence[str] = METRICS) -> list[Difference]:
-    """Every scenario and metric that both have, paired by seed."""
+    """The differences for every scenario that both have, paired by seed."""
     by_seed_a = {(run.scenario, run.seed): run for run in a}
     by_seed_b = {(run.scenario, run.seed): run for run in b}
-    both = [key for key in by_seed_a if key in by_seed_b]
+    common = [key for key in by_seed_a if key in by_seed_b]
     found = []
-    for scenario in dict.fromkeys(name for name, _ in both):
-        keys = [key for key in both if key[0] == scenario]
+    for scenario in dict.fromkeys(name for name, _ in common):
+        keys = [key for key in common if key[0] == scenario]
         for metric in metrics:
-            left = [float(getattr(by_seed_a[key], metric)) for key in keys]
-            right = [float(getattr(by_seed_b[key], metric)) for key in keys]
-            low, high = interval([y - x for x, y in zip(left, right, strict=True)])
+            values_a = [float(getattr(by_seed_a[key], metric)) for key in keys]
+            values_b = [float(getattr(by_seed_b[key], metric)) for key in keys]
+            low, high = bootstrap_interval(
+                [value_b - value_a for value_a, value_b in zip(values_a, values_b, strict=True)]
+            )
             found.append(
                 Difference(
-                    scenario, metric, len(keys), float(np.mean(left)), float(np.mean(right)), low, high
+                    scenario, metric, len(keys), float(np.mean(values_a)), float(np.mean(values_b)), low, high
                 )
             )
     return found
@@ -77,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Summary:
-    """One variant on one scenario."""
+    """The results of one variant in one scenario."""
 
     scenario: str
     variant: str
@@ -87,19 +91,19 @@
     high: float
     whole: float
     waste: float
-    broken: int
-    """Runs that broke a rule."""
+    runs_with_breaches: int
+    """Number of runs that broke a rule."""
 
 
-def summaries(runs: Sequence[Run]) -> list[Summary]:
-    """Each scenario and variant over its seeds; runs that break a rule are counted beside the means."""
+def summarize(runs: Sequence[Run]) -> list[Summary]:
+    """Summarize each scenario and variant over its seeds; runs that break a rule are included and counted."""
     groups: dict[tuple[str, str], list[Run]] = {}
     for run in runs:
         groups.setdefault((run.scenario, run.variant), []).append(run)
     found = []
     for (scenario, variant), group in groups.items():
         scores = [run.score for run in group]
-        low, high = interval(scores)
+        low, high = bootstrap_interval(scores)
         found.append(
             Summary(
                 scenario,
--- a/irisstack/lab/policy.py
+++ b/irisstack/lab/policy.py
@@ -1,4 +1,4 @@
-"""What decides in a node: the decision module, or something to compare it with."""
+"""The policy that decides in a simulated node: the decision module, or a baseline to compare it with."""
 
 from collections.abc import Callable, Collection
 from typing import Protocol
@@ -8,26 +8,26 @@
 
 
 class Policy(Protocol):
-    """The decision module's own interface."""
+    """The interface of the decision module."""
 
     def turn(self, now: float, events: Collection[api.Event]) -> list[api.Action]:
-        """Take all that came at one time and answer with what to do about it."""
+        """Process the events that arrived at one time and return the actions to take."""
 
 
-class Truth(Protocol):
-    """What no sender can see; for the upper bound alone."""
+class Oracle(Protocol):
+    """The true state of the destinations, which no sender can see; only for the upper bound."""
 
-    def place(self, now: float, destination: int) -> api.Address | None:
-        """An endpoint that would serve a call leaving now; `None` if there is none."""
+    def find_endpoint(self, now: float, destination: int) -> api.Address | None:
+        """An endpoint that would serve a call sent now; `None` if there is none."""
 
-    def claim(self, now: float, destination: int) -> api.Address | None:
-        """The same, and the room is taken."""
+    def reserve_endpoint(self, now: float, destination: int) -> api.Address | None:
+        """The same; its capacity for one call is reserved as well."""
 
 
-Maker = Callable[[api.Settings, int, Truth], Policy]
-"""Makes a node's policy from its settings and a seed."""
+PolicyFactory = Callable[[api.Settings, int, Oracle], Policy]
+"""Creates a node's policy from its settings and a seed."""
 
 
-def module(settings: api.Settings, seed: int, truth: Truth) -> Policy:
+def decision_module(settings: api.Settings, seed: int, oracle: Oracle) -> Policy:
     """The decision module of this program."""
     return Sender(settings, seed)
--- a/irisstack/lab/world.py
+++ b/irisstack/lab/world.py
@@ -1,7 +1,7 @@
-"""A scenario and a seed as a concrete world: who there is, what is handed in when, what goes wrong.
+"""Generates the world of a scenario and a seed: destinations, senders, messages and incidents.
 
-Nothing here plays anything. Each purpose draws from a stream of its own, so that a change of one figure
-leaves the rest as it was and two variants can be compared message by message.
+The world is only data; it is played elsewhere. Each purpose draws from a random stream of its own, so that a
+change of one value leaves all other draws unchanged and two variants can be compared message by message.
 """
 
 import math
@@ -11,10 +11,10 @@
 import numpy as np
 
 from irisstack.lab.sampling import RandomStreams, sample
-from irisstack.lab.scenario import DEFAULT_STRENGTH, OF_LIST, OF_NODES, Kind, Scenario, Trouble
+from irisstack.lab.scenario import DEFAULT_STRENGTH, LIST_TROUBLES, NODE_TROUBLES, Kind, Scenario, Trouble
 
-LONGEST_WORK = 10.0
-"""Work is drawn up to so many times its mean: one message must not outlast the day by itself."""
+MAX_WORK = 10.0
+"""Maximum work of a message, as a multiple of the mean: no single message may take up the whole run."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,9 +23,9 @@
 
     number: int
     destination: int
-    at_once: int
-    queue: int
-    connections: int  # 0: no bound
+    concurrency: int
+    queue_limit: int
+    max_connections: int  # 0: unlimited
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,10 +35,10 @@
     number: int
     kind_index: int
     kind: Kind
-    traffic: float  # messages a second, mean
-    pace: float
-    capacity: float  # calls a second, of all its endpoints
-    limit: float  # calls a second; 0 for none
+    message_rate: float  # mean, in messages a second
+    duration_factor: float  # of a call, relative to the classes' mean work
+    capacity: float  # calls a second, over all its endpoints
+    rate_limit: float  # calls a second; 0: unlimited
     endpoints: tuple[EndpointSpec, ...]
 
 
@@ -47,31 +47,31 @@
     """One delivery node."""
 
     number: int
-    part: float  # of the traffic
-    slots: int
-    room: int
+    traffic_share: float  # from 0 to 1
+    max_calls: int  # concurrent
+    max_pending: int
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """What a client wants delivered; `number` stays over all its handings in (the ledger's chain)."""
+    """A message to deliver; `number` is the same for all its submissions (the ledger's `chain`)."""
 
     number: int
-    at: float
+    submit_at: float
     message_class: int
     destination: int
     sender: int
-    work: float  # times its class's mean
+    work: float  # as a multiple of the class's mean
     order_key: int
 
 
 @dataclass(slots=True, frozen=True)
 class Incident:
-    """A trouble with all its figures drawn."""
+    """A trouble with all its random values drawn; times in seconds from the start of the run."""
 
     trouble: Trouble
-    begins: float
-    ends: float
+    starts_at: float
+    ends_at: float
     destinations: tuple[int, ...] = ()
     endpoints: tuple[int, ...] = ()
     nodes: tuple[int, ...] = ()
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class World:
-    """All that is fixed before the first message."""
+    """Everything that is fixed before a run."""
 
     scenario: Scenario
     streams: RandomStreams
@@ -88,33 +88,39 @@
     senders: tuple[SenderSpec, ...]
     messages: list[Message]
     incidents: tuple[Incident, ...]
-    next_endpoint: int = 0
+    next_endpoint_number: int = 0
     endpoints: dict[int, EndpointSpec] = field(default_factory=dict)
 
     @property
-    def first_new_endpoint(self) -> int:
-        """From this number on an endpoint is one that came later."""
+    def first_replacement_number(self) -> int:
+        """Endpoints with this number or a higher one are replacements, added during the run."""
         return sum(len(spec.endpoints) for spec in self.destinations.values()) + 1
 
-    def one_way(self) -> dict[int, float]:
-        """Seconds from a node to each destination; the same at each call."""
+    def one_way_delays(self) -> dict[int, float]:
+        """One-way network delay in seconds by destination; the same at each call."""
         stream = self.streams.stream("network")
         return {number: sample(self.scenario.network.one_way_s, stream) for number in self.destinations}
 
     @property
-    def length(self) -> float:
+    def duration(self) -> float:
         return self.scenario.scenario.length_s
 
-    def new_endpoint(self, old: EndpointSpec) -> EndpointSpec:
-        """The endpoint that replaces another, under a number of its own."""
-        new = EndpointSpec(self.next_endpoint, old.destination, old.at_once, old.queue, old.connections)
-        self.next_endpoint += 1
-        self.endpoints[new.number] = new
-        return new
+    def replace_endpoint(self, replaced: EndpointSpec) -> EndpointSpec:
+        """Add the replacement of an endpoint, with a number of its own."""
+        replacement = EndpointSpec(
+            self.next_endpoint_number,
+            replaced.destination,
+            replaced.concurrency,
+            replaced.queue_limit,
+            replaced.max_connections,
+        )
+        self.next_endpoint_number += 1
+        self.endpoints[replacement.number] = replacement
+        return replacement
 
 
-def build(scenario: Scenario, seed: int | None = None) -> World:
-    """Draw a world; the scenario's own seed unless told."""
+def build_world(scenario: Scenario, seed: int | None = None) -> World:
+    """Generate the world of a scenario, from the scenario's own seed if none is given."""
     streams = RandomStreams(scenario.scenario.seed if seed is None else seed)
     destinations = _destinations(scenario, streams)
     incidents = tuple(
@@ -130,74 +136,79 @@
         incidents,
     )
     world.endpoints = {e.number: e for d in destinations.values() for e in d.endpoints}
-    world.next_endpoint = len(world.endpoints) + 1
+    world.next_endpoint_number = len(world.endpoints) + 1
     return world
 
 
-def mean_work(scenario: Scenario) -> float:
-    """Seconds of work of a message, over all classes."""
+def mean_work_seconds(scenario: Scenario) -> float:
+    """Mean work of a message in seconds, over all classes."""
     total = sum(kind.share for kind in scenario.classes)
     return sum(kind.share * kind.work_s for kind in scenario.classes) / total
 
 
-def _parts(count: int, skew: float) -> np.ndarray:
-    raw = np.arange(1, count + 1, dtype=float) ** -skew
-    return np.asarray(raw / raw.sum())
+def _zipf_shares(count: int, skew: float) -> np.ndarray:
+    """Shares that sum to 1; the n-th is proportional to 1 / n ** skew."""
+    weights = np.arange(1, count + 1, dtype=float) ** -skew
+    return np.asarray(weights / weights.sum())
 
 
 def _destinations(scenario: Scenario, streams: RandomStreams) -> dict[int, DestinationSpec]:
     found: dict[int, DestinationSpec] = {}
-    all_traffic = sum(kind.traffic for kind in scenario.kinds)
-    work = mean_work(scenario)
-    endpoint = 1
+    total_traffic = sum(kind.traffic for kind in scenario.kinds)
+    work = mean_work_seconds(scenario)
+    next_number = 1
     for index, kind in enumerate(scenario.kinds):
-        parts = _parts(kind.count, kind.skew) * kind.traffic / all_traffic * scenario.traffic.rate
-        for i, traffic in enumerate(parts.tolist()):
+        rates = _zipf_shares(kind.count, kind.skew) * kind.traffic / total_traffic * scenario.traffic.rate
+        for i, rate in enumerate(rates.tolist()):
             number = len(found) + 1
             stream = streams.stream("destination", kind.name, i)
-            pace = sample(kind.pace, stream)
-            capacity = max(kind.least_capacity, traffic * sample(kind.capacity, stream))
-            limit = 0.0
+            duration_factor = sample(kind.pace, stream)
+            capacity = max(kind.least_capacity, rate * sample(kind.capacity, stream))
+            rate_limit = 0.0
             if kind.limit is not None:
-                limit = max(kind.limit.least, traffic * sample(kind.limit.of_traffic, stream))
+                rate_limit = max(kind.limit.least, rate * sample(kind.limit.of_traffic, stream))
             low, high = kind.endpoints if isinstance(kind.endpoints, list) else (kind.endpoints,) * 2
-            many = int(stream.integers(low, high + 1))
-            # Work goes in whole servers; the pace takes up what rounding leaves over.
-            at_once = max(1, round(capacity * work * pace / many))
-            pace = at_once * many / (capacity * work)
+            endpoint_count = int(stream.integers(low, high + 1))
+            # The concurrency of an endpoint is a whole number; the duration factor makes up for the rounding.
+            concurrency = max(1, round(capacity * work * duration_factor / endpoint_count))
+            duration_factor = concurrency * endpoint_count / (capacity * work)
             specs = tuple(
                 EndpointSpec(
-                    endpoint + j,
+                    next_number + j,
                     number,
-                    at_once,
-                    max(1, round(kind.queue * at_once)),
-                    kind.connections * at_once,
+                    concurrency,
+                    max(1, round(kind.queue * concurrency)),
+                    kind.connections * concurrency,
                 )
-                for j in range(many)
+                for j in range(endpoint_count)
+            )
+            next_number += endpoint_count
+            found[number] = DestinationSpec(
+                number, index, kind, rate, duration_factor, capacity, rate_limit, specs
             )
-            endpoint += many
-            found[number] = DestinationSpec(number, index, kind, traffic, pace, capacity, limit, specs)
     return found
 
 
 def _senders(scenario: Scenario, streams: RandomStreams) -> tuple[SenderSpec, ...]:
-    told = scenario.senders
-    parts = _parts(told.count, told.skew)
+    config = scenario.senders
+    shares = _zipf_shares(config.count, config.skew)
     stream = streams.stream("senders")
-    slots, room = sample(told.slots, stream), sample(told.room_s, stream)
-    busy = scenario.traffic.rate * (mean_work(scenario) + 2.0 * _middle(scenario.network.one_way_s))
+    calls_factor, pending_seconds = sample(config.slots, stream), sample(config.room_s, stream)
+    busy_calls = scenario.traffic.rate * (
+        mean_work_seconds(scenario) + 2.0 * _midpoint(scenario.network.one_way_s)
+    )
     return tuple(
         SenderSpec(
             i,
-            part,
-            max(told.least_slots, math.ceil(part * busy * slots)),
-            max(told.least_room, math.ceil(part * scenario.traffic.rate * room)),
+            share,
+            max(config.least_slots, math.ceil(share * busy_calls * calls_factor)),
+            max(config.least_room, math.ceil(share * scenario.traffic.rate * pending_seconds)),
         )
-        for i, part in enumerate(parts.tolist())
+        for i, share in enumerate(shares.tolist())
     )
 
 
-def _middle(value: float | list[float]) -> float:
+def _midpoint(value: float | list[float]) -> float:
     return sum(value) / 2.0 if isinstance(value, list) else value
 
 
@@ -209,30 +220,30 @@
     streams: RandomStreams,
 ) -> Incident:
     stream = streams.stream("trouble", index, trouble.kind)
-    begins = sample(trouble.at_s, stream)
-    ends = begins + sample(trouble.for_s, stream)
+    starts_at = sample(trouble.at_s, stream)
+    ends_at = starts_at + sample(trouble.for_s, stream)
     strength = trouble.strength if trouble.strength is not None else DEFAULT_STRENGTH.get(trouble.kind, 0.0)
     drawn = sample(strength, stream)
-    if trouble.kind in OF_LIST:
-        return Incident(trouble, begins, ends, strength=drawn)
-    if trouble.kind in OF_NODES:
-        nodes = _some(range(scenario.senders.count), trouble.share, stream)
-        return Incident(trouble, begins, ends, nodes=nodes, strength=drawn)
-    struck = tuple(trouble.destinations) or _some(
+    if trouble.kind in LIST_TROUBLES:
+        return Incident(trouble, starts_at, ends_at, strength=drawn)
+    if trouble.kind in NODE_TROUBLES:
+        nodes = _choose(range(scenario.senders.count), trouble.share, stream)
+        return Incident(trouble, starts_at, ends_at, nodes=nodes, strength=drawn)
+    affected = tuple(trouble.destinations) or _choose(
         [n for n, d in destinations.items() if trouble.of_kind in (None, d.kind.name)], trouble.share, stream
     )
     endpoints = tuple(
         endpoint.number
-        for number in struck
+        for number in affected
         for endpoint in destinations[number].endpoints[: trouble.endpoints]
     )
-    return Incident(trouble, begins, ends, struck, endpoints, strength=drawn)
+    return Incident(trouble, starts_at, ends_at, affected, endpoints, strength=drawn)
 
 
-def _some(of: Sequence[int], share: float | None, stream: np.random.Generator) -> tuple[int, ...]:
-    """A part of them, one at least; without a part told, one."""
-    count = 1 if share is None else max(1, round(share * len(of)))
-    return tuple(sorted(int(n) for n in stream.choice(np.asarray(of), size=count, replace=False)))
+def _choose(population: Sequence[int], share: float | None, stream: np.random.Generator) -> tuple[int, ...]:
+    """Choose a share of the population, at least one member; one if no share is given."""
+    count = 1 if share is None else max(1, round(share * len(population)))
+    return tuple(sorted(int(n) for n in stream.choice(np.asarray(population), size=count, replace=False)))
 
 
 def _messages(
@@ -242,9 +253,9 @@
     incidents: tuple[Incident, ...],
     streams: RandomStreams,
 ) -> list[Message]:
-    """Everything that is handed in, in order of time."""
+    """All messages, in order of submission."""
     traffic, length = scenario.traffic, scenario.scenario.length_s
-    times = _poisson(
+    times = _poisson_arrivals(
         traffic.rate * (1.0 - traffic.clumped),
         traffic.swing,
         traffic.wave_s,
@@ -252,41 +263,45 @@
         streams.stream("arrivals"),
     )
     numbers = np.asarray(list(destinations))
-    flow = np.asarray([d.traffic for d in destinations.values()])
-    where = streams.stream("arrivals", "where").choice(numbers, size=times.size, p=flow / flow.sum())
+    rates = np.asarray([d.message_rate for d in destinations.values()])
+    targets = streams.stream("arrivals", "where").choice(numbers, size=times.size, p=rates / rates.sum())
 
-    clumps = streams.stream("clumps")
-    begun = _poisson(traffic.rate * traffic.clumped / traffic.clump, 0.0, 1.0, length, clumps)
-    clump_times = np.repeat(begun, traffic.clump) + clumps.uniform(0.0, 0.2, begun.size * traffic.clump)
-    clump_where = np.repeat(clumps.choice(numbers, size=begun.size, p=flow / flow.sum()), traffic.clump)
-    times, where = np.concatenate([times, clump_times]), np.concatenate([where, clump_where])
+    bursts = streams.stream("clumps")
+    starts = _poisson_arrivals(traffic.rate * traffic.clumped / traffic.clump, 0.0, 1.0, length, bursts)
+    burst_times = np.repeat(starts, traffic.clump) + bursts.uniform(0.0, 0.2, starts.size * traffic.clump)
+    burst_targets = np.repeat(bursts.choice(numbers, size=starts.size, p=rates / rates.sum()), traffic.clump)
+    times, targets = np.concatenate([times, burst_times]), np.concatenate([targets, burst_targets])
 
     for i, incident in enumerate(incidents):
         if incident.trouble.kind == "hot":
             stream = streams.stream("hot", i)
-            more = incident.begins + _poisson(
-                traffic.rate * incident.strength, 0.0, 1.0, incident.ends - incident.begins, stream
+            extra_times = incident.starts_at + _poisson_arrivals(
+                traffic.rate * incident.strength, 0.0, 1.0, incident.ends_at - incident.starts_at, stream
+            )
+            times = np.concatenate([times, extra_times])
+            targets = np.concatenate(
+                [targets, stream.choice(np.asarray(incident.destinations), size=extra_times.size)]
             )
-            times = np.concatenate([times, more])
-            where = np.concatenate([where, stream.choice(np.asarray(incident.destinations), size=more.size)])
 
     order = np.argsort(times, kind="stable")
-    times, where = times[order], where[order]
-    keep = times < length
-    times, where = times[keep], where[keep]
+    times, targets = times[order], targets[order]
+    in_run = times < length
+    times, targets = times[in_run], targets[in_run]
     shares = np.asarray([kind.share for kind in scenario.classes])
-    kinds = streams.stream("classes").choice(shares.size, size=times.size, p=shares / shares.sum())
-    parts = np.asarray([sender.part for sender in senders])
-    by = streams.stream("entry").choice(parts.size, size=times.size, p=parts / parts.sum())
-    work = _work(scenario, kinds, streams)
-    keys = streams.stream("order").random(times.size)
-    orders = np.asarray([kind.order_keys for kind in scenario.classes])[kinds]
-    order_keys = np.where(orders > 0, where * 1000 + (keys * orders).astype(int), -1)
+    class_indices = streams.stream("classes").choice(shares.size, size=times.size, p=shares / shares.sum())
+    sender_shares = np.asarray([sender.traffic_share for sender in senders])
+    sender_indices = streams.stream("entry").choice(
+        sender_shares.size, size=times.size, p=sender_shares / sender_shares.sum()
+    )
+    work = _work(scenario, class_indices, streams)
+    key_draws = streams.stream("order").random(times.size)
+    key_counts = np.asarray([kind.order_keys for kind in scenario.classes])[class_indices]
+    order_keys = np.where(key_counts > 0, targets * 1000 + (key_draws * key_counts).astype(int), -1)
     columns = zip(
         times.tolist(),
-        kinds.tolist(),
-        where.tolist(),
-        by.tolist(),
+        class_indices.tolist(),
+        targets.tolist(),
+        sender_indices.tolist(),
         work.tolist(),
         order_keys.tolist(),
         strict=True,
@@ -294,22 +309,22 @@
     return [Message(i + 1, *row) for i, row in enumerate(columns)]
 
 
-def _work(scenario: Scenario, kinds: np.ndarray, streams: RandomStreams) -> np.ndarray:
-    """Times its class's mean, log-normal with that mean at one."""
-    spread = np.asarray([kind.work_spread for kind in scenario.classes])[kinds]
+def _work(scenario: Scenario, class_indices: np.ndarray, streams: RandomStreams) -> np.ndarray:
+    """Work as a multiple of the class's mean: log-normal with mean 1, cut off at `MAX_WORK`."""
+    spread = np.asarray([kind.work_spread for kind in scenario.classes])[class_indices]
     sigma = np.sqrt(np.log1p(spread**2))
-    normal = streams.stream("work").standard_normal(kinds.size)
-    return np.asarray(np.minimum(np.exp(sigma * normal - sigma**2 / 2.0), LONGEST_WORK))
+    normal = streams.stream("work").standard_normal(class_indices.size)
+    return np.asarray(np.minimum(np.exp(sigma * normal - sigma**2 / 2.0), MAX_WORK))
 
 
-def _poisson(
-    rate: float, swing: float, wave: float, length: float, stream: np.random.Generator
+def _poisson_arrivals(
+    mean_rate: float, swing: float, period: float, length: float, stream: np.random.Generator
 ) -> np.ndarray:
-    """Times of independent arrivals; with a swing the rate goes up and down in waves (by thinning)."""
-    most = rate * (1.0 + swing)
-    count = int(stream.poisson(most * length)) if most > 0.0 else 0
+    """Arrival times of a Poisson process; with a swing the rate follows a sine wave (by thinning)."""
+    max_rate = mean_rate * (1.0 + swing)
+    count = int(stream.poisson(max_rate * length)) if max_rate > 0.0 else 0
     times = np.sort(stream.uniform(0.0, length, count))
     if swing:
-        wanted = rate * (1.0 + swing * np.sin(2.0 * np.pi * times / wave))
-        times = times[stream.random(count) * most < wanted]
+        rates = mean_rate * (1.0 + swing * np.sin(2.0 * np.pi * times / period))
+        times = times[stream.random(count) * max_rate < rates]
     return np.asarray(times)
