--- a/benchmarks/owed_messages.py
+++ b/benchmarks/owed_messages.py
@@ -132,8 +132,8 @@
 def measure_compaction(messages: int) -> Mapping[str, float]:
     """Measure the longest write to a state directory that is nearly full, in processor time.
 
-    It is full enough that each new segment frees the oldest one. Pending messages stay, while others, already past their deadline, are accepted and delivered
-    at once, then dropped as expired.
+    It is full enough that each new segment frees the oldest one. Pending messages stay, while others, already
+    past their deadline, are accepted and delivered at once, then dropped as expired.
     """
     with tempfile.TemporaryDirectory(prefix="irisstack-owed-") as directory:
         disk_limit = messages * COMPACTION_DISK_BYTES_PER_MESSAGE
