--- a/irisstack/node/discovery.py
+++ b/irisstack/node/discovery.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AddressChanged:
-    """The address of discovery has changed to `peer`."""
+    """Discovery has moved to another address."""
 
     address: HostPort
 
