--- a/tests/lab/sockets/test_play.py
+++ b/tests/lab/sockets/test_play.py
@@ -63,7 +63,7 @@
 
 def test_a_partner_that_forgets_its_keys_is_seen(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The auditor is not blind on sockets: a partner that forgets its keys shows as effects twice."""
-    monkeypatch.setattr(Destination, "remembers", lambda self, now, item: False)
+    monkeypatch.setattr(Destination, "is_duplicate", lambda self, now, item: False)
     world = small_world(
         tmp_path,
         trouble_toml("answers_lost", at_s=0.5, for_s=3.0, share=1.0, strength=1.0),
